--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -329,7 +329,10 @@
   const auto keys = node->cluster->TakeDirty(4);
   std::vector<std::pair<std::string, std::optional<wire::Json>>> writes;
   writes.reserve(keys.size());
-  for (const auto& key : keys) writes.emplace_back(key, node->cluster->Render(key));
+  for (const auto& key : keys) {
+    writes.emplace_back(key, node->cluster->Render(key));
+    ObserveRecord(IndexOf(*node), key, writes.back().second);
+  }
   if (!current || now_ < store_out_until_ || (!scripted_ && Chance(0.1))) {
     for (const auto& key : keys) node->cluster->OnNotStored(key);
     return;
@@ -346,6 +349,7 @@
 }
 
 void World::Apply(Node* node, const Effects& effects) {
+  ObserveCloudCalls(IndexOf(*node), effects);
   for (const auto& request : effects.rent) {
     if (now_ < cloud_out_until_ || node->ZoneCut(now_)) {
       node->cluster->OnRented(request.name, Cluster::RentOutcome::kUnknown, {}, now_);
--- a/tests/cluster_model.h
+++ b/tests/cluster_model.h
@@ -78,6 +78,11 @@
 
   void Run();
 
+  // Called with one line for each decision the core hands out: cloud calls, commands to workers
+  // and records to be stored, in the order in which they are made.
+  using DecisionObserver = std::function<void(const std::string& line)>;
+  void ObserveDecisions(DecisionObserver observer) { observer_ = std::move(observer); }
+
   size_t starts() const { return attempts_.size(); }
 
   // ---- the words that scripted histories are written in ----
@@ -259,6 +264,15 @@
 
   void Start(Worker* w, const std::pair<std::string, uint64_t>& key, const std::string& job);
 
+  // One line each for the observer, if there is one.
+  void ObserveRecord(size_t leader, const std::string& key,
+                     const std::optional<wire::Json>& value) const;
+  void ObserveCloudCalls(size_t leader, const Effects& effects) const;
+  void ObserveCommands(size_t leader, const std::string& machine,
+                       const Cluster::ReportResult& result) const;
+  void ObserveLine(size_t leader, const std::string& text) const;
+  size_t IndexOf(const Node& node) const;
+
   bool OfGang(const std::string& task) const {
     return told_.at(wire::ParseTaskName(task)->job).spec.kind == wire::JobKind::kGang;
   }
@@ -306,6 +320,7 @@
   std::map<std::string, double> copies_;
   uint64_t workers_made_ = 0;
   SimulatedGangs gangs_{settings_, &random_};
+  DecisionObserver observer_;
 };
 
 }  // namespace zinclead::core::model
--- a/tests/cluster_model_workers.cc
+++ b/tests/cluster_model_workers.cc
@@ -147,6 +147,7 @@
     }
   }
   Cluster::ReportResult result = node.cluster->OnReport(f->report, now_, lapsed);
+  ObserveCommands(f->to, f->report.machine, result);
   if (result.refuse || Chance(troubles_ ? 0.05 : 0)) return;
   f->answered = true;
   f->computed_at = now_;
