--- a/bench/core_benchmark.cc
+++ b/bench/core_benchmark.cc
@@ -23,30 +23,30 @@
           static_cast<int>(state.range(2))};
 }
 
-void ParseReport(benchmark::State& state) {
+void ParseHeartbeat(benchmark::State& state) {
   SimulatedFleet fleet({40, 20, 40});
-  fleet.Fill();
+  fleet.BackfillMachine();
   const std::string body = fleet.NextReport(0);
   for (auto _ : state) {
     std::string error;
-    benchmark::DoNotOptimize(wire::ParseReport(body, &error));
+    benchmark::DoNotOptimize(wire::ParseHeartbeat(body, &error));
   }
   state.counters["bytes"] = static_cast<double>(body.size());
 }
-BENCHMARK(ParseReport);
+BENCHMARK(ParseHeartbeat);
 
 // A report that says nothing new: read, judged and answered.
 void UnchangedReport(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.Fill();
+  fleet.BackfillMachine();
   size_t next = 0;
   for (auto _ : state) {
     state.PauseTiming();
     const std::string body = fleet.NextReport(next);
     state.ResumeTiming();
     std::string error;
-    const auto report = wire::ParseReport(body, &error);
-    const auto result = fleet.cluster().OnReport(*report, fleet.now());
+    const auto heartbeat = wire::ParseHeartbeat(body, &error);
+    const auto result = fleet.cluster().OnHeartbeat(*heartbeat, fleet.now());
     benchmark::DoNotOptimize(wire::CommandsBody(1, result.commands));
     next = (next + 1) % fleet.machine_count();
   }
@@ -56,12 +56,12 @@
 // A pass over a backlog that finds no room.
 void OverloadedPass(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.Fill();
+  fleet.BackfillMachine();
   for (auto _ : state) {
     state.PauseTiming();
     fleet.Advance(1);
-    for (size_t i = 0; i < fleet.machine_count(); ++i) fleet.Report(i);
-    fleet.Advance(fleet.tuning().retry_s + fleet.tuning().retry_jitter_s);
+    for (size_t i = 0; i < fleet.machine_count(); ++i) fleet.Heartbeat(i);
+    fleet.Advance(fleet.operator_settings().retry_s + fleet.operator_settings().retry_jitter_s);
     state.ResumeTiming();
     benchmark::DoNotOptimize(fleet.cluster().Schedule(fleet.now()));
   }
@@ -72,7 +72,7 @@
 
 void LoadTerm(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.Fill();
+  fleet.BackfillMachine();
   uint64_t term = 1;
   for (auto _ : state) benchmark::DoNotOptimize(fleet.LoadTerm(++term));
   state.counters["records"] = static_cast<double>(fleet.records().size());
--- a/bench/process_load.cc
+++ b/bench/process_load.cc
@@ -6,9 +6,9 @@
 #include <ctime>
 #include <string>
 
+#include "fault_injection/controller_processes.h"
+#include "fault_injection/fakes.h"
 #include "fixtures.h"
-#include "rehearsal/controller_processes.h"
-#include "rehearsal/stand_ins.h"
 
 namespace zinclead::bench {
 namespace {
@@ -17,11 +17,11 @@
 constexpr int kCpusPerMachine = 4;
 constexpr int kTasksPerJob = 40;
 
-rehearsal::ControllerOptions Options(const char* program) {
-  rehearsal::ControllerOptions options;
+fault_injection::ControllerOptions Options(const char* program) {
+  fault_injection::ControllerOptions options;
   options.program = program;
   options.count = 1;
-  options.report_s = kReportS;
+  options.heartbeat_interval_s = kReportS;
   options.lease_s = 10;
   options.cancel_s = 30;
   options.state_rps = 150;
@@ -42,19 +42,19 @@
 
 void RunFor(net::EventLoop* loop, double seconds) {
   const double until = net::SteadyNow() + seconds;
-  while (!rehearsal::RunUntil(loop, [&] { return net::SteadyNow() >= until; })) {
+  while (!fault_injection::RunUntil(loop, [&] { return net::SteadyNow() >= until; })) {
   }
 }
 
 int Main(const char* program, int machines, double seconds) {
   net::EventLoop loop;
-  rehearsal::StandInStore store(&loop);
-  rehearsal::ControllerProcesses controllers(&loop, Options(program));
-  rehearsal::StandInCloud cloud(&loop, {testing::MakeType("c4", kCpusPerMachine, 1.0)},
-                                [&](const wire::Report& identity) {
-                                  return std::make_unique<rehearsal::StandInWorker>(
-                                      &loop, identity, controllers.Nodes(), kReportS, 1e6);
-                                });
+  fault_injection::FakeStore store(&loop);
+  fault_injection::ControllerProcesses controllers(&loop, Options(program));
+  fault_injection::FakeCloud cloud(&loop, {testing::MakeType("c4", kCpusPerMachine, 1.0)},
+                                   [&](const wire::Heartbeat& identity) {
+                                     return std::make_unique<fault_injection::FakeWorker>(
+                                         &loop, identity, controllers.Nodes(), kReportS, 1e6);
+                                   });
   controllers.SetEndpoints(cloud.port(), store.port());
   controllers.Start(0);
   const pid_t pid = controllers.pid(0);
@@ -72,9 +72,9 @@
   const double before = CpuSeconds(pid);
   RunFor(&loop, seconds);
   const double used = CpuSeconds(pid) - before;
-  const double reports = static_cast<double>(cloud.workers().size()) / kReportS * seconds;
+  const double heartbeats = static_cast<double>(cloud.workers().size()) / kReportS * seconds;
   std::printf("%.1f ms of processor time a second, %.1f us a report\n", 1e3 * used / seconds,
-              1e6 * used / reports);
+              1e6 * used / heartbeats);
   return 0;
 }
 
--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -22,7 +22,7 @@
   settings.zones = {"a", "b", "c", "d"};
   settings.teams = {{"open", 0, 0, 0, 0}};
   settings.objectives = {{"wait", "service", 3, 0.93}, {"finished", "array", 120, 0.94}};
-  settings.report_s = 1.5;
+  settings.heartbeat_interval_s = 1.5;
   settings.cancel_s = 30;
   settings.state_value_kb = 32;
   settings.state_txn_ops = kRecordsAtOnce;
@@ -87,20 +87,21 @@
 SimulatedFleet::SimulatedFleet(const FleetSize& size)
     : size_(size),
       settings_(MakeSettings(size)),
-      cluster_(std::make_unique<core::Cluster>(settings_, tuning_, kTerm, now_, kWallOffset + now_,
+      cluster_(std::make_unique<core::Cluster>(settings_, operator_settings_, kTerm, now_,
+                                               kWallOffset + now_,
                                                /*random_seed=*/1)) {
   cluster_->FinishLoading(now_);
   cluster_->OnMachineTypes({MakeType("small", 4), MakeType("large", 16)});
   Store();
 }
 
-void SimulatedFleet::Fill() {
+void SimulatedFleet::BackfillMachine() {
   Submit();
   for (int round = 0; round < 20; ++round) {
-    Advance(settings_.report_s);
-    Rent(cluster_->Schedule(now_));
+    Advance(settings_.heartbeat_interval_s);
+    ScaleOut(cluster_->Schedule(now_));
     Store();
-    for (size_t i = 0; i < workers_.size(); ++i) Report(i);
+    for (size_t i = 0; i < workers_.size(); ++i) Heartbeat(i);
     Store();
   }
 }
@@ -113,31 +114,31 @@
   Store();
 }
 
-void SimulatedFleet::Rent(const core::Effects& effects) {
-  for (const wire::RentRequest& request : effects.rent) {
+void SimulatedFleet::ScaleOut(const core::CloudActions& cloud_actions) {
+  for (const wire::ScaleOutRequest& request : cloud_actions.scale_out) {
     std::vector<std::string> names;
     while (static_cast<int>(names.size()) < request.count &&
            static_cast<int>(workers_.size()) < size_.machines) {
       Worker worker;
-      worker.report.machine = "i-" + std::to_string(100000 + workers_.size());
-      worker.report.address = "10.1.0.1:9000";
-      worker.report.type = request.type;
-      worker.report.zone = request.zone;
-      worker.report.spot = request.spot;
-      worker.report.session = 1;
-      names.push_back(worker.report.machine);
+      worker.heartbeat.machine = "i-" + std::to_string(100000 + workers_.size());
+      worker.heartbeat.address = "10.1.0.1:9000";
+      worker.heartbeat.type = request.type;
+      worker.heartbeat.zone = request.zone;
+      worker.heartbeat.spot = request.spot;
+      worker.heartbeat.agent_epoch = 1;
+      names.push_back(worker.heartbeat.machine);
       workers_.push_back(std::move(worker));
     }
-    const auto outcome = names.empty() ? core::Cluster::RentOutcome::kNoCapacity
-                                       : core::Cluster::RentOutcome::kRented;
-    cluster_->OnRented(request.name, outcome, names, now_);
+    const auto outcome = names.empty() ? core::Cluster::ScaleOutOutcome::kNoCapacity
+                                       : core::Cluster::ScaleOutOutcome::kProvisioned;
+    cluster_->OnScaleOutAnswered(request.name, outcome, names, now_);
   }
 }
 
 void SimulatedFleet::Store() {
-  while (cluster_->HasDirty()) {
-    for (const std::string& key : cluster_->TakeDirty(kRecordsAtOnce)) {
-      std::optional<wire::Json> value = cluster_->Render(key);
+  while (cluster_->HasQueuedRecords()) {
+    for (const std::string& key : cluster_->DequeueRecords(kRecordsAtOnce)) {
+      std::optional<wire::Json> value = cluster_->Serialize(key);
       if (value) {
         records_[key] = std::move(*value);
       } else {
@@ -150,18 +151,18 @@
 
 std::string SimulatedFleet::NextReport(size_t machine) {
   Worker& worker = workers_[machine];
-  ++worker.report.seq;
-  worker.report.tasks.clear();
-  for (const auto& [name, task] : worker.tasks) worker.report.tasks.push_back(task);
-  return wire::ToJson(worker.report).dump();
+  ++worker.heartbeat.sequence;
+  worker.heartbeat.tasks.clear();
+  for (const auto& [name, task] : worker.tasks) worker.heartbeat.tasks.push_back(task);
+  return wire::ToJson(worker.heartbeat).dump();
 }
 
-std::string SimulatedFleet::Report(size_t machine) {
+std::string SimulatedFleet::Heartbeat(size_t machine) {
   const std::string body = NextReport(machine);
   std::string error;
-  const auto report = wire::ParseReport(body, &error);
-  const auto result = cluster_->OnReport(*report, now_);
-  workers_[machine].report.token = kTerm;
+  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  const auto result = cluster_->OnHeartbeat(*heartbeat, now_);
+  workers_[machine].heartbeat.fencing_token = kTerm;
   Execute(&workers_[machine], result.commands);
   return wire::CommandsBody(kTerm, result.commands);
 }
@@ -179,8 +180,9 @@
 }
 
 std::unique_ptr<core::Cluster> SimulatedFleet::LoadTerm(uint64_t term) const {
-  auto cluster = std::make_unique<core::Cluster>(settings_, tuning_, term, now_, kWallOffset + now_,
-                                                 /*random_seed=*/1);
+  auto cluster =
+      std::make_unique<core::Cluster>(settings_, operator_settings_, term, now_, kWallOffset + now_,
+                                      /*random_seed=*/1);
   for (const auto& [key, value] : records_) cluster->LoadRecord(key, value);
   cluster->FinishLoading(now_);
   return cluster;
--- a/bench/simulated_fleet.h
+++ b/bench/simulated_fleet.h
@@ -31,34 +31,34 @@
 
   // Submits all jobs, rents machines until the wanted number is up, and lets all of them report
   // until nothing changes any more.
-  void Fill();
+  void BackfillMachine();
   // The body of the next report of the machine with that number.
   std::string NextReport(size_t machine);
   // Reports and executes the commands of the answer, whose body it returns.
-  std::string Report(size_t machine);
+  std::string Heartbeat(size_t machine);
   // A new leader with the records that are stored.
   std::unique_ptr<core::Cluster> LoadTerm(uint64_t term) const;
 
   void Advance(double seconds) { now_ += seconds; }
   core::Cluster& cluster() { return *cluster_; }
-  const config::OperatorSettings& tuning() const { return tuning_; }
+  const config::OperatorSettings& operator_settings() const { return operator_settings_; }
   const std::map<std::string, wire::Json>& records() const { return records_; }
   size_t machine_count() const { return workers_.size(); }
   double now() const { return now_; }
 
  private:
   struct Worker {
-    wire::Report report;
-    std::map<std::string, wire::ReportedTask> tasks;
+    wire::Heartbeat heartbeat;
+    std::map<std::string, wire::TaskStatus> tasks;
   };
   void Submit();
   void Store();
-  void Rent(const core::Effects& effects);
+  void ScaleOut(const core::CloudActions& cloud_actions);
   static void Execute(Worker* worker, const std::vector<wire::Command>& commands);
 
   const FleetSize size_;
   config::Settings settings_;
-  config::OperatorSettings tuning_;
+  config::OperatorSettings operator_settings_;
   double now_ = 100;
   std::map<std::string, wire::Json> records_;
   std::vector<Worker> workers_;
--- a/src/admission/admission_policy.cc
+++ b/src/admission/admission_policy.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "admission/id_filter.h"
+#include "admission/bloom_filter.h"
 
 namespace zinclead::admission {
 
@@ -16,29 +16,31 @@
 
 Decision AdmissionPolicy::Decide(const Request& request, double now) {
   if (!limits_.fair) {
-    if (!active_.HasPlace(request.team)) return RefuseWithoutTurn();
+    if (!active_.HasPlace(request.team)) return RefuseWithoutReservation();
     return Admit(request);
   }
   Advance(now);
-  auto it = turns_.find(request.id);
-  if (it != turns_.end() && (it->second->team != request.team || it->second->tier != request.tier ||
-                             it->second->cost != request.cost)) {
+  auto it = reservations_.find(request.id);
+  if (it != reservations_.end() &&
+      (it->second->team != request.team || it->second->tier != request.tier ||
+       it->second->cost != request.cost)) {
     // The id comes back as another job: the turn was given to the first one.
-    RemoveTurn(request.id);
-    it = turns_.end();
+    RemoveReservation(request.id);
+    it = reservations_.end();
   }
-  if (it != turns_.end()) {
-    Turn* turn = it->second.get();
-    if (!turn->granted) return Refuse(turn, now);
-    counters_.longest_wait_s = std::max(counters_.longest_wait_s, now - turn->begun_at);
-    RemoveTurn(request.id);
+  if (it != reservations_.end()) {
+    Reservation* reservation = it->second.get();
+    if (!reservation->granted) return Refuse(reservation, now);
+    counters_.longest_wait_s =
+        std::max(counters_.longest_wait_s, now - reservation->first_refused_at);
+    RemoveReservation(request.id);
     return Admit(request);
   }
-  if (!RowHasSpace(request)) return RefuseWithoutTurn();
-  Turn* turn = AddTurn(request, now);
-  GrantTurns(now);
-  if (!turn->granted) return Refuse(turn, now);
-  RemoveTurn(request.id);
+  if (!QueueHasCapacity(request)) return RefuseWithoutReservation();
+  Reservation* reservation = AddReservation(request, now);
+  GrantReservations(now);
+  if (!reservation->granted) return Refuse(reservation, now);
+  RemoveReservation(request.id);
   return Admit(request);
 }
 
@@ -50,36 +52,36 @@
 }
 
 void AdmissionPolicy::AddAccepted(const std::string& id, double accepted_at, double now) {
-  if (limits_.fair && accepted_at + kUserPatienceS >= now) recent_.emplace(accepted_at, id);
+  if (limits_.fair && accepted_at + kUserRetryLimitS >= now) recent_.emplace(accepted_at, id);
 }
 
 void AdmissionPolicy::ForgetAccepted(double now) {
-  while (!recent_.empty() && recent_.begin()->first + kUserPatienceS < now) {
+  while (!recent_.empty() && recent_.begin()->first + kUserRetryLimitS < now) {
     recent_.erase(recent_.begin());
   }
 }
 
 void AdmissionPolicy::Withdraw(const std::string& id) {
-  if (turns_.contains(id)) RemoveTurn(id);
+  if (reservations_.contains(id)) RemoveReservation(id);
 }
 
 wire::CreditGrant AdmissionPolicy::MakeGrant(double now) {
   wire::CreditGrant grant;
   if (!limits_.fair) return grant;
   Advance(now);
-  if (turns_.empty()) return grant;  // all that comes is admitted
+  if (reservations_.empty()) return grant;  // all that comes is admitted
   grant.limited = true;
   grant.by_tier.resize(kTiers);
   for (size_t tier = 0; tier < kTiers; ++tier) {
     for (const auto& [team, weight] : limits_.team_weight) {
-      grant.by_tier[tier][team] = FreeTurns(team, tier);
+      grant.by_tier[tier][team] = FreeReservations(team, tier);
     }
   }
-  IdFilter turns(turns_.size());
-  for (const auto& [id, turn] : turns_) turns.Add(id);
-  grant.turns = turns.ToText();
+  BloomFilter reservations(reservations_.size());
+  for (const auto& [id, reservation] : reservations_) reservations.Add(id);
+  grant.reservations = reservations.ToText();
   ForgetAccepted(now);
-  IdFilter accepted(recent_.size() + unstored_.size());
+  BloomFilter accepted(recent_.size() + unstored_.size());
   for (const auto& [at, id] : recent_) accepted.Add(id);
   for (const std::string& id : unstored_) accepted.Add(id);
   grant.accepted = accepted.ToText();
@@ -88,16 +90,16 @@
 
 // Each follower may use all that is free: the leader judges what comes, and a team that sends
 // little must not be shut out because its few submissions came to one follower.
-uint64_t AdmissionPolicy::FreeTurns(const std::string& team, size_t tier) const {
+uint64_t AdmissionPolicy::FreeReservations(const std::string& team, size_t tier) const {
   const double held = queues_[tier].CostOf(team);
-  const double free = std::max(0.0, limits_.TurnCost(team, tier) - held) / kRecordsPerJob;
+  const double free = std::max(0.0, limits_.ReservationCost(team, tier) - held) / kRecordsPerJob;
   return std::max<uint64_t>(static_cast<uint64_t>(free), held == 0 ? 1 : 0);
 }
 
 void AdmissionPolicy::Advance(double now) {
   FillBuckets(now);
-  CloseTurns(now);
-  GrantTurns(now);
+  ExpireReservations(now);
+  GrantReservations(now);
 }
 
 void AdmissionPolicy::FillBuckets(double now) {
@@ -114,27 +116,27 @@
   common_tokens_ = std::min(common_tokens_, common_burst);
 }
 
-void AdmissionPolicy::CloseTurns(double now) {
-  while (!closing_.empty() && closing_.begin()->first <= now) {
-    const std::string id = closing_.begin()->second;
-    const Turn& turn = *turns_.at(id);
-    ++counters_.turns_lapsed;
+void AdmissionPolicy::ExpireReservations(double now) {
+  while (!expiring_.empty() && expiring_.begin()->first <= now) {
+    const std::string id = expiring_.begin()->second;
+    const Reservation& reservation = *reservations_.at(id);
+    ++counters_.reservations_expired;
     // What it did not use goes to the next.
-    if (turn.granted) common_tokens_ += turn.cost;
-    RemoveTurn(id);
+    if (reservation.granted) common_tokens_ += reservation.cost;
+    RemoveReservation(id);
   }
 }
 
-void AdmissionPolicy::GrantTurns(double now) {
+void AdmissionPolicy::GrantReservations(double now) {
   const auto has_place = [this](const std::string& team) { return active_.HasPlace(team); };
   for (size_t tier = 0; tier < kTiers; ++tier) {
     while (unstored_.size() < limits_.max_unstored) {
-      Turn* turn = queues_[tier].Next(has_place);
-      if (turn == nullptr || !TakeTokens(tier, turn->cost)) break;
+      Reservation* reservation = queues_[tier].Next(has_place);
+      if (reservation == nullptr || !TakeTokens(tier, reservation->cost)) break;
       queues_[tier].PopServed();
-      turn->granted = true;
-      active_.Add(turn->team);
-      SetClosing(turn, std::max(now, turn->named_at) + limits_.turn_window_s);
+      reservation->granted = true;
+      active_.Add(reservation->team);
+      SetExpiry(reservation, std::max(now, reservation->retry_at) + limits_.reservation_window_s);
     }
   }
 }
@@ -151,35 +153,35 @@
 }
 
 // A team may hold turns worth its share, and one whatever it costs.
-bool AdmissionPolicy::RowHasSpace(const Request& request) const {
+bool AdmissionPolicy::QueueHasCapacity(const Request& request) const {
   const double held = queues_[request.tier].CostOf(request.team);
-  return held == 0 || held + request.cost <= limits_.TurnCost(request.team, request.tier);
-}
-
-Turn* AdmissionPolicy::AddTurn(const Request& request, double now) {
-  auto owned = std::make_unique<Turn>();
-  Turn* turn = owned.get();
-  turn->id = request.id;
-  turn->team = request.team;
-  turn->tier = request.tier;
-  turn->cost = request.cost;
-  turn->begun_at = now;
-  turns_[request.id] = std::move(owned);
-  queues_[turn->tier].Push(turn, limits_.WeightOf(turn->team));
-  SetClosing(turn, now + limits_.turn_window_s);
-  return turn;
-}
-
-void AdmissionPolicy::RemoveTurn(const std::string& id) {
-  const auto it = turns_.find(id);
-  Turn* turn = it->second.get();
-  closing_.erase({turn->closes_at, id});
-  if (turn->granted) {
-    active_.Remove(turn->team);  // the place that was held for it
+  return held == 0 || held + request.cost <= limits_.ReservationCost(request.team, request.tier);
+}
+
+Reservation* AdmissionPolicy::AddReservation(const Request& request, double now) {
+  auto owned = std::make_unique<Reservation>();
+  Reservation* reservation = owned.get();
+  reservation->id = request.id;
+  reservation->team = request.team;
+  reservation->tier = request.tier;
+  reservation->cost = request.cost;
+  reservation->first_refused_at = now;
+  reservations_[request.id] = std::move(owned);
+  queues_[reservation->tier].Push(reservation, limits_.WeightOf(reservation->team));
+  SetExpiry(reservation, now + limits_.reservation_window_s);
+  return reservation;
+}
+
+void AdmissionPolicy::RemoveReservation(const std::string& id) {
+  const auto it = reservations_.find(id);
+  Reservation* reservation = it->second.get();
+  expiring_.erase({reservation->expires_at, id});
+  if (reservation->granted) {
+    active_.Remove(reservation->team);  // the place that was held for it
   } else {
-    queues_[turn->tier].Remove(turn);
+    queues_[reservation->tier].Remove(reservation);
   }
-  turns_.erase(it);
+  reservations_.erase(it);
 }
 
 // The rate at which the tier's turns are granted while the tiers that wait stay the same: what idle
@@ -198,20 +200,21 @@
 }
 
 // When the turn will be granted if all teams that wait keep waiting.
-void AdmissionPolicy::NameTime(Turn* turn, double now) {
-  const FairQueue& queue = queues_[turn->tier];
-  const double share = limits_.WeightOf(turn->team) / queue.active_weight();
-  const double served_ahead = std::max(0.0, queue.CostThrough(turn) - tokens_[turn->tier]);
-  const double wait = served_ahead / (ServiceRate(turn->tier) * share);
+void AdmissionPolicy::SetRetryTime(Reservation* reservation, double now) {
+  const FairQueue& queue = queues_[reservation->tier];
+  const double share = limits_.WeightOf(reservation->team) / queue.active_weight();
+  const double served_ahead =
+      std::max(0.0, queue.CostThrough(reservation) - tokens_[reservation->tier]);
+  const double wait = served_ahead / (ServiceRate(reservation->tier) * share);
   const double seconds = std::clamp(std::ceil(wait), 1.0, static_cast<double>(kMaxRetryAfterS));
-  turn->named_at = now + seconds;
-  SetClosing(turn, turn->named_at + limits_.turn_window_s);
+  reservation->retry_at = now + seconds;
+  SetExpiry(reservation, reservation->retry_at + limits_.reservation_window_s);
 }
 
-void AdmissionPolicy::SetClosing(Turn* turn, double at) {
-  closing_.erase({turn->closes_at, turn->id});
-  turn->closes_at = at;
-  closing_.emplace(at, turn->id);
+void AdmissionPolicy::SetExpiry(Reservation* reservation, double at) {
+  expiring_.erase({reservation->expires_at, reservation->id});
+  reservation->expires_at = at;
+  expiring_.emplace(at, reservation->id);
 }
 
 Decision AdmissionPolicy::Admit(const Request& request) {
@@ -221,29 +224,30 @@
   return {true, false, 0};
 }
 
-Decision AdmissionPolicy::Refuse(Turn* turn, double now) {
+Decision AdmissionPolicy::Refuse(Reservation* reservation, double now) {
   // A user who is back too early keeps the time that was named.
-  if (turn->named_at <= now) NameTime(turn, now);
-  ++counters_.refused_with_turn;
-  const double wait = std::max(1.0, std::ceil(turn->named_at - now));
+  if (reservation->retry_at <= now) SetRetryTime(reservation, now);
+  ++counters_.refused_with_reservation;
+  const double wait = std::max(1.0, std::ceil(reservation->retry_at - now));
   return {false, true, static_cast<int>(wait)};
 }
 
-Decision AdmissionPolicy::RefuseWithoutTurn() {
-  ++counters_.refused_without_turn;
+Decision AdmissionPolicy::RefuseWithoutReservation() {
+  ++counters_.refused_without_reservation;
   if (!limits_.fair) return {false, false, limits_.busy_retry_s};
-  std::uniform_int_distribution<int> retry(limits_.no_turn_retry_min_s,
-                                           limits_.no_turn_retry_max_s);
+  std::uniform_int_distribution<int> retry(limits_.no_reservation_retry_min_s,
+                                           limits_.no_reservation_retry_max_s);
   return {false, false, retry(random_)};
 }
 
 bool AdmissionPolicy::CountsAgree() const {
   size_t waiting = 0;
   size_t granted = 0;
-  for (const auto& [id, turn] : turns_) ++(turn->granted ? granted : waiting);
+  for (const auto& [id, reservation] : reservations_) ++(reservation->granted ? granted : waiting);
   size_t queued = 0;
   for (const FairQueue& queue : queues_) queued += queue.size();
-  return waiting == queued && closing_.size() == turns_.size() && active_.total() >= granted;
+  return waiting == queued && expiring_.size() == reservations_.size() &&
+         active_.total() >= granted;
 }
 
 }  // namespace zinclead::admission
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -33,16 +33,16 @@
 
 struct Decision {
   bool admitted = false;
-  bool has_turn = false;  // refused, but its place is kept
+  bool has_reservation = false;  // refused, but its place is kept
   int retry_after_s = 0;
 };
 
 // Counts since the term began, for logs and tests.
 struct Counters {
   uint64_t admitted = 0;
-  uint64_t refused_with_turn = 0;
-  uint64_t refused_without_turn = 0;
-  uint64_t turns_lapsed = 0;
+  uint64_t refused_with_reservation = 0;
+  uint64_t refused_without_reservation = 0;
+  uint64_t reservations_expired = 0;
   double longest_wait_s = 0;  // from a job's first refusal to its admission
 };
 
@@ -68,7 +68,7 @@
   wire::CreditGrant MakeGrant(double now);
 
   const Counters& counters() const { return counters_; }
-  size_t turns() const { return turns_.size(); }
+  size_t reservations() const { return reservations_.size(); }
   size_t unstored() const { return unstored_.size(); }
   const ActiveJobs& active() const { return active_; }
   // Compares all counts with a recount. For tests.
@@ -77,20 +77,20 @@
  private:
   void Advance(double now);
   void FillBuckets(double now);
-  void CloseTurns(double now);
-  void GrantTurns(double now);
+  void ExpireReservations(double now);
+  void GrantReservations(double now);
   bool TakeTokens(size_t tier, double cost);
-  Turn* AddTurn(const Request& request, double now);
-  void RemoveTurn(const std::string& id);
+  Reservation* AddReservation(const Request& request, double now);
+  void RemoveReservation(const std::string& id);
   double ServiceRate(size_t tier) const;
-  void NameTime(Turn* turn, double now);
-  void SetClosing(Turn* turn, double at);
-  uint64_t FreeTurns(const std::string& team, size_t tier) const;
-  bool RowHasSpace(const Request& request) const;
+  void SetRetryTime(Reservation* reservation, double now);
+  void SetExpiry(Reservation* reservation, double at);
+  uint64_t FreeReservations(const std::string& team, size_t tier) const;
+  bool QueueHasCapacity(const Request& request) const;
   void ForgetAccepted(double now);
   Decision Admit(const Request& request);
-  Decision Refuse(Turn* turn, double now);
-  Decision RefuseWithoutTurn();
+  Decision Refuse(Reservation* reservation, double now);
+  Decision RefuseWithoutReservation();
 
   const Limits limits_;
   std::mt19937_64 random_;
@@ -99,8 +99,8 @@
   double common_tokens_ = 0;
   double filled_at_ = 0;
   std::array<FairQueue, kTiers> queues_;
-  std::unordered_map<std::string, std::unique_ptr<Turn>> turns_;
-  std::set<std::pair<double, std::string>> closing_;
+  std::unordered_map<std::string, std::unique_ptr<Reservation>> reservations_;
+  std::set<std::pair<double, std::string>> expiring_;
   std::set<std::string> unstored_;
   // Admitted within the users' patience: their repeated submissions are let through.
   std::set<std::pair<double, std::string>> recent_;
--- a/src/admission/id_filter.cc
+++ b/src/admission/bloom_filter.cc
@@ -1,4 +1,4 @@
-#include "admission/id_filter.h"
+#include "admission/bloom_filter.h"
 
 #include <algorithm>
 
@@ -39,16 +39,16 @@
 
 }  // namespace
 
-IdFilter::IdFilter(size_t ids)
+BloomFilter::BloomFilter(size_t ids)
     : bytes_(ids == 0 ? 0 : std::clamp(ids * kBitsPerId / kBitsPerByte, kMinBytes, kMaxBytes)) {}
 
-void IdFilter::Add(std::string_view id) {
+void BloomFilter::Add(std::string_view id) {
   if (bytes_.empty()) return;
   ForEachBit(id, bytes_.size() * kBitsPerByte,
              [this](size_t at, uint8_t mask) { bytes_[at] |= mask; });
 }
 
-bool IdFilter::MayHold(std::string_view id) const {
+bool BloomFilter::MayContain(std::string_view id) const {
   if (bytes_.empty()) return false;
   bool all = true;
   ForEachBit(id, bytes_.size() * kBitsPerByte, [&](size_t at, uint8_t mask) {
@@ -57,7 +57,7 @@
   return all;
 }
 
-std::string IdFilter::ToText() const {
+std::string BloomFilter::ToText() const {
   std::string text;
   text.reserve(2 * bytes_.size());
   for (const uint8_t byte : bytes_) {
@@ -67,9 +67,9 @@
   return text;
 }
 
-std::optional<IdFilter> IdFilter::FromText(std::string_view text) {
+std::optional<BloomFilter> BloomFilter::FromText(std::string_view text) {
   if (text.size() % 2 != 0 || text.size() / 2 > kMaxBytes) return std::nullopt;
-  IdFilter filter;
+  BloomFilter filter;
   filter.bytes_.reserve(text.size() / 2);
   for (size_t i = 0; i < text.size(); i += 2) {
     const size_t high = kDigits.find(text[i]);
--- a/src/admission/fair_queue.cc
+++ b/src/admission/fair_queue.cc
@@ -4,32 +4,32 @@
 
 namespace zinclead::admission {
 
-void FairQueue::Push(Turn* turn, double weight) {
-  const auto [it, is_new] = teams_.try_emplace(turn->team);
+void FairQueue::Push(Reservation* reservation, double weight) {
+  const auto [it, is_new] = teams_.try_emplace(reservation->team);
   Team& team = it->second;
   if (is_new) {
     team.weight = weight;
     active_weight_ += weight;
-    round_.push_back(turn->team);
+    round_.push_back(reservation->team);
   }
-  team.turns.push_back(turn);
-  team.cost += turn->cost;
+  team.reservations.push_back(reservation);
+  team.cost += reservation->cost;
   ++size_;
 }
 
-void FairQueue::Remove(const Turn* turn) {
-  const auto it = teams_.find(turn->team);
+void FairQueue::Remove(const Reservation* reservation) {
+  const auto it = teams_.find(reservation->team);
   if (it == teams_.end()) return;
   Team& team = it->second;
-  const auto place = std::find(team.turns.begin(), team.turns.end(), turn);
-  if (place == team.turns.end()) return;
-  team.turns.erase(place);
-  team.cost -= turn->cost;
+  const auto place = std::find(team.reservations.begin(), team.reservations.end(), reservation);
+  if (place == team.reservations.end()) return;
+  team.reservations.erase(place);
+  team.cost -= reservation->cost;
   --size_;
-  if (team.turns.empty()) EraseTeam(turn->team);
+  if (team.reservations.empty()) EraseTeam(reservation->team);
 }
 
-Turn* FairQueue::Next(const std::function<bool(const std::string& team)>& may_serve) {
+Reservation* FairQueue::Next(const std::function<bool(const std::string& team)>& may_serve) {
   const bool any = std::any_of(teams_.begin(), teams_.end(),
                                [&](const auto& entry) { return may_serve(entry.first); });
   if (!any) return nullptr;
@@ -45,7 +45,7 @@
       team.visited = true;
       team.deficit += kQuantum * team.weight;
     }
-    if (team.turns.front()->cost <= team.deficit) return team.turns.front();
+    if (team.reservations.front()->cost <= team.deficit) return team.reservations.front();
     Rotate(&team);
   }
 }
@@ -53,13 +53,13 @@
 void FairQueue::PopServed() {
   const std::string name = round_.front();
   Team& team = teams_.at(name);
-  const Turn* served = team.turns.front();
-  team.turns.pop_front();
+  const Reservation* served = team.reservations.front();
+  team.reservations.pop_front();
   team.deficit -= served->cost;
   team.cost -= served->cost;
   --size_;
   // A team that no longer waits keeps no deficit: it can't save up service.
-  if (team.turns.empty()) EraseTeam(name);
+  if (team.reservations.empty()) EraseTeam(name);
 }
 
 double FairQueue::CostOf(const std::string& team) const {
@@ -67,13 +67,13 @@
   return it == teams_.end() ? 0 : it->second.cost;
 }
 
-double FairQueue::CostThrough(const Turn* turn) const {
-  const auto it = teams_.find(turn->team);
+double FairQueue::CostThrough(const Reservation* reservation) const {
+  const auto it = teams_.find(reservation->team);
   if (it == teams_.end()) return 0;
   double cost = 0;
-  for (const Turn* other : it->second.turns) {
+  for (const Reservation* other : it->second.reservations) {
     cost += other->cost;
-    if (other == turn) break;
+    if (other == reservation) break;
   }
   return cost;
 }
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -14,25 +14,25 @@
 inline constexpr double kQuantum = 1;
 
 // A refused job's place in its team's row. Owned by AdmissionPolicy.
-struct Turn {
+struct Reservation {
   std::string id;
   std::string team;
   size_t tier = 0;
   double cost = 0;
-  double begun_at = 0;   // its first refusal
-  double named_at = 0;   // when its user was told to come back
-  bool granted = false;  // the next submission of the id is admitted
-  double closes_at = 0;  // the turn is given up then
+  double first_refused_at = 0;  // its first refusal
+  double retry_at = 0;          // when its user was told to come back
+  bool granted = false;         // the next submission of the id is admitted
+  double expires_at = 0;        // the turn is given up then
 };
 
 class FairQueue {
  public:
-  void Push(Turn* turn, double weight);
+  void Push(Reservation* reservation, double weight);
   // Removes a turn that was not served.
-  void Remove(const Turn* turn);
+  void Remove(const Reservation* reservation);
   // The next turn to serve, or null if no team that `may_serve` accepts waits. Repeated calls name
   // the same turn while nothing else changes.
-  Turn* Next(const std::function<bool(const std::string& team)>& may_serve);
+  Reservation* Next(const std::function<bool(const std::string& team)>& may_serve);
   // Takes the turn that Next named.
   void PopServed();
 
@@ -41,7 +41,7 @@
   // Cost of the team's waiting turns.
   double CostOf(const std::string& team) const;
   // The same, of those up to and including this one.
-  double CostThrough(const Turn* turn) const;
+  double CostThrough(const Reservation* reservation) const;
   // Sum of the weights of the teams that wait.
   double active_weight() const { return active_weight_; }
   size_t active_teams() const { return teams_.size(); }
@@ -50,7 +50,7 @@
 
  private:
   struct Team {
-    std::list<Turn*> turns;
+    std::list<Reservation*> reservations;
     double cost = 0;
     double weight = 1;
     double deficit = 0;
--- a/src/admission/limits.cc
+++ b/src/admission/limits.cc
@@ -30,13 +30,13 @@
   return it == team_weight.end() ? 1.0 : it->second;
 }
 
-double Limits::TurnCost(const std::string& team, size_t tier) const {
-  return turn_cost_per_weight[tier] * WeightOf(team);
+double Limits::ReservationCost(const std::string& team, size_t tier) const {
+  return reservation_cost_per_weight[tier] * WeightOf(team);
 }
 
-size_t Limits::MaxTurns() const {
+size_t Limits::MaxReservations() const {
   double cost = 0;
-  for (const double per_weight : turn_cost_per_weight) cost += per_weight * total_weight;
+  for (const double per_weight : reservation_cost_per_weight) cost += per_weight * total_weight;
   return static_cast<size_t>(cost / kRecordsPerJob) + kTiers * teams;
 }
 
@@ -51,18 +51,19 @@
   // quantum and a job more.
   double least_weight = 1;
   for (const auto& [team, weight] : team_weight) least_weight = std::min(least_weight, weight);
-  const double turns = turn_cost_per_weight[tier] * total_weight;
+  const double reservations = reservation_cost_per_weight[tier] * total_weight;
   const double one_job = job_cost * total_weight / least_weight;
   const double round = total_weight + static_cast<double>(teams) * job_cost;
-  return (std::max(turns, one_job) + round) / tier_rate[tier];
+  return (std::max(reservations, one_job) + round) / tier_rate[tier];
 }
 
-Limits DeriveLimits(const config::Settings& settings, const config::OperatorSettings& tuning) {
-  const config::AdmissionSettings& wanted = tuning.admission;
+Limits DeriveLimits(const config::Settings& settings,
+                    const config::OperatorSettings& operator_settings) {
+  const config::AdmissionSettings& wanted = operator_settings.admission;
   Limits limits;
   limits.fair = wanted.fair != 0;
-  limits.max_active_jobs = static_cast<size_t>(tuning.max_active_jobs);
-  limits.busy_retry_s = static_cast<int>(tuning.retry_s) + 1;
+  limits.max_active_jobs = static_cast<size_t>(operator_settings.max_active_jobs);
+  limits.busy_retry_s = static_cast<int>(operator_settings.retry_s) + 1;
   limits.teams = std::max<size_t>(1, settings.teams.size());
   limits.rate = wanted.rate_share * settings.state_write_rps;
   limits.tasks_per_record =
@@ -84,18 +85,19 @@
     limits.tier_burst[tier] = std::max(kRecordsPerJob, wanted.burst_s * limits.tier_rate[tier]);
     // What is left of the users' patience after the latency of a round.
     const double round = limits.total_weight + static_cast<double>(limits.teams) * kRecordsPerJob;
-    const double served = kPatienceShare * kUserPatienceS * limits.tier_rate[tier] - round;
-    limits.turn_cost_per_weight[tier] = std::max(0.0, served) / limits.total_weight;
+    const double served = kPatienceShare * kUserRetryLimitS * limits.tier_rate[tier] - round;
+    limits.reservation_cost_per_weight[tier] = std::max(0.0, served) / limits.total_weight;
   }
-  limits.turn_window_s = wanted.turn_window_s;
-  limits.max_unstored = static_cast<size_t>(std::max<double>(
-      settings.state_txn_ops, std::ceil(limits.rate * wire::kSubmitPatienceS / 2)));
-  limits.no_turn_retry_min_s =
+  limits.reservation_window_s = wanted.reservation_window_s;
+  limits.max_unstored = static_cast<size_t>(
+      std::max<double>(settings.state_txn_ops, std::ceil(limits.rate * wire::kSubmitTimeoutS / 2)));
+  limits.no_reservation_retry_min_s =
       std::max(1, static_cast<int>(std::lround(kNoTurnRetryShare * kMaxRetryAfterS)));
-  limits.no_turn_retry_max_s = kMaxRetryAfterS;
-  limits.no_leader_retry_max_s = std::clamp(
-      static_cast<int>(std::ceil(kElectionLeases * tuning.leader_lease_share * settings.cancel_s)),
-      1, kMaxRetryAfterS);
+  limits.no_reservation_retry_max_s = kMaxRetryAfterS;
+  limits.no_leader_retry_max_s =
+      std::clamp(static_cast<int>(std::ceil(kElectionLeases * operator_settings.leader_lease_share *
+                                            settings.cancel_s)),
+                 1, kMaxRetryAfterS);
   limits.follower_trickle =
       std::max(1.0, limits.rate / static_cast<double>(settings.NodeCount()) / kRecordsPerJob);
   return limits;
@@ -115,14 +117,15 @@
   for (size_t tier = 0; tier < kTiers; ++tier) {
     std::string line = std::string("admission: ") + kNames[tier];
     line += Line(" is sure of %.2f writes a second", limits.tier_rate[tier]);
-    line += Line(", a team of weight 1 holds turns worth %.1f", limits.turn_cost_per_weight[tier]);
+    line += Line(", a team of weight 1 holds turns worth %.1f",
+                 limits.reservation_cost_per_weight[tier]);
     const double bound = limits.WaitBound(tier);
     line += Line(", and waits at most %.1f s for a turn", bound);
-    if (bound > kUserPatienceS) line += " (longer than users wait)";
+    if (bound > kUserRetryLimitS) line += " (longer than users wait)";
     lines.push_back(line);
   }
   lines.push_back(
-      Line("admission: at most %.0f turns in all", static_cast<double>(limits.MaxTurns())));
+      Line("admission: at most %.0f turns in all", static_cast<double>(limits.MaxReservations())));
   lines.push_back(Line("admission: at most %.0f admitted jobs wait for their record",
                        static_cast<double>(limits.max_unstored)));
   lines.push_back(Line("admission: a follower without a grant forwards %.1f submissions a second",
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -22,7 +22,7 @@
 
 // Users repeat a refused submission for this long in total, and wait no longer than
 // kMaxRetryAfterS between two tries (PROTOCOL, "POST /submissions").
-inline constexpr double kUserPatienceS = 60;
+inline constexpr double kUserRetryLimitS = 60;
 inline constexpr int kMaxRetryAfterS = 30;
 
 // Records that any job takes: its submission and its end. The least cost of a job.
@@ -47,14 +47,14 @@
   std::map<std::string, double> team_weight;
   double total_weight = 0;
   // Cost of the turns that a team of weight 1 may hold in each tier.
-  std::array<double, kTiers> turn_cost_per_weight{};
+  std::array<double, kTiers> reservation_cost_per_weight{};
   // How long a turn stays open for its user.
-  double turn_window_s = 0;
+  double reservation_window_s = 0;
   // Admitted jobs whose record is not durable yet, at most.
   size_t max_unstored = 0;
   // Retry-After of refusals without a turn is drawn from this span.
-  int no_turn_retry_min_s = 0;
-  int no_turn_retry_max_s = 0;
+  int no_reservation_retry_min_s = 0;
+  int no_reservation_retry_max_s = 0;
   // Retry-After while there is no leader goes up to this.
   int no_leader_retry_max_s = 1;
   // Submissions a second that a follower without a valid grant forwards.
@@ -62,9 +62,9 @@
 
   double WeightOf(const std::string& team) const;
   // Cost of the turns that the team may hold in a tier. One turn is allowed whatever its cost.
-  double TurnCost(const std::string& team, size_t tier) const;
+  double ReservationCost(const std::string& team, size_t tier) const;
   // Most turns over all teams and tiers, counting each with the least cost.
-  size_t MaxTurns() const;
+  size_t MaxReservations() const;
   // Cost of a job: its own record and the records of its progress.
   double CostOf(const wire::JobSpec& spec) const;
   // Upper bound of the time from a refusal with a turn until the turn is granted, while the active
@@ -73,7 +73,8 @@
   double WaitBound(size_t tier, double job_cost = kRecordsPerJob) const;
 };
 
-Limits DeriveLimits(const config::Settings& settings, const config::OperatorSettings& tuning);
+Limits DeriveLimits(const config::Settings& settings,
+                    const config::OperatorSettings& operator_settings);
 
 // One line a figure, for operators.
 std::vector<std::string> Describe(const Limits& limits);
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -32,12 +32,12 @@
 }
 
 void PrintAdmission(const zinclead::config::Settings& settings,
-                    const zinclead::config::OperatorSettings& tuning) {
-  for (const std::string& line :
-       zinclead::admission::Describe(zinclead::admission::DeriveLimits(settings, tuning))) {
+                    const zinclead::config::OperatorSettings& operator_settings) {
+  for (const std::string& line : zinclead::admission::Describe(
+           zinclead::admission::DeriveLimits(settings, operator_settings))) {
     std::cout << line << "\n";
   }
-  for (const auto& [team, weight] : tuning.admission.team_weights) {
+  for (const auto& [team, weight] : operator_settings.admission.team_weights) {
     // Not an error: the platform may drop a team while controllers run.
     if (settings.FindTeam(team) == nullptr) {
       std::cout << "admission: team \"" << team << "\" is not known to the platform\n";
@@ -59,20 +59,20 @@
   CLI11_PARSE(app, argc, argv);
 
   zinclead::config::Settings settings;
-  zinclead::config::OperatorSettings tuning;
+  zinclead::config::OperatorSettings operator_settings;
   std::string error;
   if (!zinclead::config::LoadSettings(config_path, &settings, &error)) {
     std::cerr << "zinclead: " << config_path << ": " << error << "\n";
     return 2;
   }
   if (!operator_path.empty() &&
-      !zinclead::config::LoadOperatorSettings(operator_path, &tuning, &error)) {
+      !zinclead::config::LoadOperatorSettings(operator_path, &operator_settings, &error)) {
     std::cerr << "zinclead: " << operator_path << ": " << error << "\n";
     return 2;
   }
   if (check) {
     std::cout << "settings are valid\n";
-    PrintAdmission(settings, tuning);
+    PrintAdmission(settings, operator_settings);
     return 0;
   }
   // The process lives within tens of megabytes: one arena, and freed memory goes back.
@@ -80,7 +80,7 @@
   mallopt(M_TRIM_THRESHOLD, 1024 * 1024);
   SetUpLogging();
   try {
-    zinclead::service::Node node(settings, tuning);
+    zinclead::service::Node node(settings, operator_settings);
     spdlog::info("node {} in zone {} listens on {}", settings.node, settings.zone,
                  settings.listen.ToString());
     node.Run();
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -19,7 +19,7 @@
              kQueue, kMaxResponse),
       // A tenth is left for what a previous leader still has under way.
       tokens_(0.9 * settings.cloud_rps, 0.9 * settings.cloud_rps),
-      timeout_s_(std::max(2.0, settings.report_s)) {}
+      timeout_s_(std::max(2.0, settings.heartbeat_interval_s)) {}
 
 void CloudClient::Malformed(const char* what) {
   ++malformed_;
@@ -50,24 +50,24 @@
        });
 }
 
-void CloudClient::Rent(const wire::RentRequest& request,
-                       std::function<void(RentResult, std::vector<std::string>)> done) {
-  Call("POST", std::string(wire::kMachinesPath), wire::RentBody(request), core::Importance::kUser,
-       [this, done = std::move(done)](const net::Response& response) {
+void CloudClient::ScaleOut(const wire::ScaleOutRequest& request,
+                           std::function<void(ScaleOutResult, std::vector<std::string>)> done) {
+  Call("POST", std::string(wire::kMachinesPath), wire::ScaleOutBody(request),
+       core::Importance::kUser, [this, done = std::move(done)](const net::Response& response) {
          if (response.status == 200) {
-           auto machines = wire::ParseRented(response.body);
+           auto machines = wire::ParseScaleOutResponse(response.body);
            if (!machines) {
              Malformed("a rent request");
-             return done(RentResult::kUnknown, {});
+             return done(ScaleOutResult::kUnknown, {});
            }
-           return done(RentResult::kRented, std::move(*machines));
+           return done(ScaleOutResult::kProvisioned, std::move(*machines));
          }
          const bool none = response.status == 503 && wire::IsNoCapacity(response.body);
          if (response.status == 400) {
            spdlog::error("cloud: rent request called malformed: {}", response.body);
-           return done(RentResult::kNoCapacity, {});
+           return done(ScaleOutResult::kNoCapacity, {});
          }
-         done(none ? RentResult::kNoCapacity : RentResult::kUnknown, {});
+         done(none ? ScaleOutResult::kNoCapacity : ScaleOutResult::kUnknown, {});
        });
 }
 
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -14,15 +14,15 @@
 
 namespace zinclead::cloud {
 
-enum class RentResult { kRented, kNoCapacity, kUnknown };
+enum class ScaleOutResult { kProvisioned, kNoCapacity, kUnknown };
 
 class CloudClient {
  public:
   CloudClient(net::EventLoop* loop, const config::Settings& settings);
 
   void MachineTypes(std::function<void(std::optional<std::vector<wire::MachineType>>)> done);
-  void Rent(const wire::RentRequest& request,
-            std::function<void(RentResult, std::vector<std::string>)> done);
+  void ScaleOut(const wire::ScaleOutRequest& request,
+                std::function<void(ScaleOutResult, std::vector<std::string>)> done);
   // `gone`: the deletion was answered, so the machines and all that was on them are gone.
   void Delete(const std::vector<std::string>& machines, std::function<void(bool gone)> done);
   // The whole list, page by page.
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -17,7 +17,7 @@
   // Seconds of its rate that a tier may save up.
   double burst_s = 10;
   // How long a turn stays open for its user after the time that was named.
-  double turn_window_s = 5;
+  double reservation_window_s = 5;
   // Parts of the rate that the tiers are sure of.
   double prod_weight = 6;
   double high_weight = 4;
@@ -34,14 +34,14 @@
   double retry_jitter_s = 1;
   double deadline_s = 14400;
   // A job of which nothing has started after this time goes ahead of all but production.
-  double begin_within_s = 120;
+  double starvation_limit_s = 120;
   // Admission: active jobs above which new ones are answered busy.
   int max_active_jobs = 1024;
   AdmissionSettings admission;
-  // Fleet: an idle machine goes back after idle_s; rent requests use at most rent_share of the
-  // cloud's request rate.
+  // Fleet: an idle machine goes back after idle_s; rent requests use at most scale_out_rate_share
+  // of the cloud's request rate.
   double idle_s = 20;
-  double rent_share = 0.5;
+  double scale_out_rate_share = 0.5;
   // A machine that is not up after boot_give_up times its type's boot time is returned; after
   // boot_late times that, it no longer counts as on its way.
   double boot_give_up = 4;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -127,7 +127,7 @@
   s.node = reader.String(root, "", "node");
   s.zone = reader.String(root, "", "zone");
   s.listen = reader.Address(root, "", "listen");
-  s.back = reader.Address(root, "", "back");
+  s.peer_listen = reader.Address(root, "", "back");
   reader.Each(root, "", "others", [&](const toml::table& item, const std::string& at) {
     Peer peer;
     peer.node = reader.String(item, at, "node");
@@ -178,7 +178,7 @@
                 s.objectives.push_back(std::move(objective));
               });
   const toml::table& workers = reader.Table(params, "settings.", "workers");
-  s.report_s = reader.Amount(workers, "settings.workers.", "report_s");
+  s.heartbeat_interval_s = reader.Amount(workers, "settings.workers.", "report_s");
   s.lease_s = reader.Amount(workers, "settings.workers.", "lease_s");
   s.cancel_s = reader.Amount(workers, "settings.workers.", "cancel_s");
   s.gang_wait_s = reader.Amount(workers, "settings.workers.", "gang_wait_s", true);
@@ -213,7 +213,7 @@
   if (reader.ok() && s.lease_s >= s.cancel_s) {
     reader.Fail("settings.workers.lease_s", "must be less than cancel_s");
   }
-  if (reader.ok() && s.report_s >= s.lease_s) {
+  if (reader.ok() && s.heartbeat_interval_s >= s.lease_s) {
     reader.Fail("settings.workers.report_s", "must be less than lease_s");
   }
   if (reader.ok() && s.state_txn_ops < 2) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -46,7 +46,7 @@
   std::string node;
   std::string zone;
   Endpoint listen;
-  Endpoint back;
+  Endpoint peer_listen;
   std::vector<Peer> peers;
   Endpoint cloud;
   Endpoint state;
@@ -54,7 +54,7 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double clock_error_ms = 0;
-  double report_s = 0;
+  double heartbeat_interval_s = 0;
   double lease_s = 0;
   double cancel_s = 0;
   // How long a gang's task waits for the others, and how soon it notices that one is gone. 0 where
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -15,21 +15,22 @@
 
 }  // namespace
 
-Cluster::Cluster(const config::Settings& settings, const config::OperatorSettings& tuning,
-                 uint64_t term, double now, double wall_now, uint64_t random_seed,
-                 PassClock pass_clock)
+Cluster::Cluster(const config::Settings& settings,
+                 const config::OperatorSettings& operator_settings, uint64_t term, double now,
+                 double wall_now, uint64_t random_seed, Clock clock)
     : settings_(settings),
-      tuning_(tuning),
-      admission_limits_(admission::DeriveLimits(settings, tuning)),
+      operator_settings_(operator_settings),
+      admission_limits_(admission::DeriveLimits(settings, operator_settings)),
       admission_(admission_limits_, now, random_seed),
       term_(term),
       started_at_(now),
-      earlier_until_(now + KeepAliveLimit(settings)),
+      earlier_leader_deadline_(now + KeepAliveLimit(settings)),
       wall_offset_(wall_now - now),
       random_(random_seed),
-      rent_tokens_(settings.cloud_rps * tuning.rent_share,
-                   std::max(1.0, settings.cloud_rps * tuning.rent_share)),
-      pass_pacer_(settings, tuning, std::move(pass_clock)) {}
+      scale_out_rate_limiter_(
+          settings.cloud_rps * operator_settings.scale_out_rate_share,
+          std::max(1.0, settings.cloud_rps * operator_settings.scale_out_rate_share)),
+      cycle_rate_limiter_(settings, operator_settings, std::move(clock)) {}
 
 Cluster::~Cluster() = default;
 
@@ -48,7 +49,7 @@
   auto job = std::make_unique<Job>();
   job->serial = next_serial_++;
   job->spec = spec;
-  job->need = NeedOf(spec);
+  job->request = RequestOf(spec);
   job->accepted_ms = accepted_ms;
   job->accepted_at = accepted_at;
   job->done_chunk = ChunkSize();
@@ -75,7 +76,7 @@
       std::find(type.zones.begin(), type.zones.end(), *spec.zone) == type.zones.end()) {
     return false;
   }
-  return NeedOf(spec).Fits({type.cpus, type.gpus, type.memory_gb});
+  return RequestOf(spec).Fits({type.cpus, type.gpus, type.memory_gb});
 }
 
 SubmitOutcome Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now,
@@ -114,7 +115,7 @@
   const auto accepted_ms = static_cast<int64_t>(std::llround(wall_now * 1000));
   auto job = NewJob(spec, accepted_ms, now);
   active_jobs_[{accepted_ms, spec.id}] = job.get();
-  MarkDirty(JobKey(spec.id), Importance::kUser);
+  EnqueueRecord(JobKey(spec.id), Importance::kUser);
   jobs_[spec.id] = std::move(job);
   return SubmitOutcome::kAccepted;
 }
@@ -145,13 +146,13 @@
   if (!job->AllDone() && !job->cancel_wanted) {
     // From here on nothing of it starts; it is stopped once the cancellation is durable.
     job->cancel_wanted = true;
-    MarkDirty(JobKey(id), Importance::kUser);
+    EnqueueRecord(JobKey(id), Importance::kUser);
     for (auto& [index, attempt] : job->active) {
       if (attempt->phase == AttemptPhase::kPlaced && !attempt->start_sent) {
         StopAttempt(attempt, 0, attempt->since);
       }
     }
-    dirty_ = true;
+    schedule_due_ = true;
   }
   return CancelOutcome::kPendingStore;
 }
@@ -201,11 +202,11 @@
   a->index = index;
   a->number = number;
   a->since = now;
-  a->holds_room = true;
-  m->used += job->need;
+  a->holds_allocation = true;
+  m->used += job->request;
   if (job->spec.kind == wire::JobKind::kService) ++m->services;
-  if (job->spec.kind == wire::JobKind::kArray) ArrayUse(m, *job) += job->need;
-  team_usage_[job->spec.team] += job->need;
+  if (job->spec.kind == wire::JobKind::kArray) ArrayUse(m, *job) += job->request;
+  team_usage_[job->spec.team] += job->request;
   ++job->zone_counts[m->zone];
   job->attempts.insert(a);
   m->attempts[KeyOf(*a)] = std::move(owned);
@@ -220,26 +221,26 @@
 }
 
 // The task can no longer be on the machine: it has ended there, or the machine's session has.
-void Cluster::ReleaseRoom(Attempt* a) {
-  if (!a->holds_room) return;
-  a->holds_room = false;
-  a->machine->used -= a->job->need;
+void Cluster::ReleaseAllocation(Attempt* a) {
+  if (!a->holds_allocation) return;
+  a->holds_allocation = false;
+  a->machine->used -= a->job->request;
   if (a->job->spec.kind == wire::JobKind::kService) --a->machine->services;
-  if (a->job->spec.kind == wire::JobKind::kArray) ArrayUse(a->machine, *a->job) -= a->job->need;
+  if (a->job->spec.kind == wire::JobKind::kArray) ArrayUse(a->machine, *a->job) -= a->job->request;
   if (a->stop) --a->machine->stopping;
-  team_usage_[a->job->spec.team] -= a->job->need;
+  team_usage_[a->job->spec.team] -= a->job->request;
   if (--a->job->zone_counts[a->machine->zone] <= 0) a->job->zone_counts.erase(a->machine->zone);
   if (a->phase == AttemptPhase::kRunning || a->phase == AttemptPhase::kSaving) --a->job->running;
-  dirty_ = true;
+  schedule_due_ = true;
 }
 
 void Cluster::RemoveAttempt(Attempt* a, double now) {
-  ReleaseRoom(a);
+  ReleaseAllocation(a);
   Job* job = a->job;
   Machine* m = a->machine;
   TaskBackToPending(a, wire::EndCause::kNone, now);
   unsent_services_.erase(KeyOf(*a));
-  if (job->gang && job->pending > 0) dirty_ = true;  // it may be replaced on this machine
+  if (job->gang && job->pending > 0) schedule_due_ = true;  // it may be replaced on this machine
   job->attempts.erase(a);
   m->attempts.erase(KeyOf(*a));
   if (m->attempts.empty()) m->idle_since = now;
@@ -268,9 +269,9 @@
   job->first_pending = std::min(job->first_pending, index);
   // A service that has lost a task goes where a whole pass finds it the best place, not to
   // whichever machine reports until then.
-  if (job->spec.kind == wire::JobKind::kService) job->tried = false;
+  if (job->spec.kind == wire::JobKind::kService) job->considered = false;
   if (job->gang) OnGangTaskLost(job, cause, now);
-  dirty_ = true;
+  schedule_due_ = true;
 }
 
 void Cluster::StopAttempt(Attempt* a, double grace_s, double now) {
@@ -278,7 +279,7 @@
   if (!a->stop) {
     unsent_services_.erase(KeyOf(*a));
     a->stop = true;
-    if (a->holds_room) ++a->machine->stopping;
+    if (a->holds_allocation) ++a->machine->stopping;
     a->stop_since = now;
     a->grace_s = grace_s;
   } else {
@@ -293,9 +294,9 @@
   state = TaskState::kDoneUnstored;
   ++job->done;
   if (job->AllDone()) {
-    MarkDirty(JobKey(job->spec.id), Importance::kUser);
+    EnqueueRecord(JobKey(job->spec.id), Importance::kUser);
   } else {
-    MarkProgressDirty(job, index);
+    EnqueueProgress(job, index);
   }
 }
 
@@ -306,9 +307,9 @@
 void Cluster::FinishJobIfOver(Job* job) {
   if (job->final_state == FinalState::kNone || !job->attempts.empty()) return;
   const std::string key = JobKey(job->spec.id);
-  if (dirty_records_.contains(key) || rendered_.contains(key)) return;
+  if (queued_records_.contains(key) || in_flight_writes_.contains(key)) return;
   // Inherited cancelled jobs may turn up on machines that have not been heard of yet.
-  if (job->inherited && !settled_) return;
+  if (job->inherited && !reconciled_) return;
   finished_[job->spec.id] = {job->final_state, job->spec.tasks};
   const std::string id = job->spec.id;
   jobs_.erase(id);
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -24,9 +24,9 @@
 #include "admission/admission_policy.h"
 #include "config/operator_settings.h"
 #include "config/settings.h"
+#include "core/cycle_rate_limiter.h"
 #include "core/gang.h"
 #include "core/gang_arrivals.h"
-#include "core/pass_pacer.h"
 #include "core/token_bucket.h"
 #include "wire/wire.h"
 
@@ -71,7 +71,7 @@
 };
 
 // What each task of the job takes of its machine.
-inline Resources NeedOf(const wire::JobSpec& spec) {
+inline Resources RequestOf(const wire::JobSpec& spec) {
   return {spec.cpus, spec.gpus, spec.memory_gb};
 }
 
@@ -80,11 +80,11 @@
 }
 
 // A job whose tasks failed on this many machines is at fault itself; until then the machines are.
-inline constexpr size_t kJobAtFault = 3;
+inline constexpr size_t kFaultyJobThreshold = 3;
 
 // A machine that has shown this many times in a row that answers of ours did not reach it gets no
 // work, and over a share of its lease it counts as deaf. One lost answer shows nothing.
-inline constexpr int kDeafAnswers = 3;
+inline constexpr int kUnacknowledgedLimit = 3;
 
 struct Machine;
 struct Job;
@@ -107,17 +107,17 @@
   uint64_t number = 0;
   AttemptPhase phase = AttemptPhase::kPlaced;
   wire::EndCause cause = wire::EndCause::kNone;
-  bool start_sent = false;  // a start was put in some answer
-  bool listed = false;      // some report has listed it
-  uint64_t listed_in = 0;   // the last report that did, by Cluster's own count
-  bool stop = false;        // a stop is wanted
+  bool start_sent = false;           // a start was put in some answer
+  bool listed = false;               // some report has listed it
+  uint64_t listed_in_heartbeat = 0;  // the last report that did, by Cluster's own count
+  bool stop = false;                 // a stop is wanted
   double grace_s = 0;
-  bool holds_room = false;  // counted against machine, team and zone
-  double since = 0;         // when it was placed or first seen
+  bool holds_allocation = false;  // counted against machine, team and zone
+  double since = 0;               // when it was placed or first seen
   double running_since = 0;
   double stop_since = 0;
   // A gang's task: reports since a task of the gang was lost that show it waiting.
-  int waiting_reports = 0;
+  int waiting_heartbeats = 0;
 };
 
 // kDoneUnstored: completed, but a new leader would not know it from the store yet.
@@ -134,7 +134,7 @@
 struct Job {
   uint64_t serial = 0;
   wire::JobSpec spec;
-  Resources need;
+  Resources request;
   int64_t accepted_ms = 0;  // time of day, for the record
   double accepted_at = 0;   // the same on this node's steady clock
   bool stored = false;      // accepted durably
@@ -153,8 +153,8 @@
   std::map<std::string, int> zone_counts;         // tasks that may be on a machine, by zone
   uint32_t running = 0;
   std::unordered_set<Attempt*> attempts;    // known on any machine, ended ones included
-  bool begun = false;                       // some task has run, as far as this term knows
-  bool tried = false;                       // a whole pass has looked for room for it
+  bool started = false;                     // some task has run, as far as this term knows
+  bool considered = false;                  // a whole pass has looked for room for it
   std::map<std::string, double> failed_on;  // machines on which a task ended with an error, when
   double not_before = 0;
   std::optional<Gang> gang;  // of a job whose tasks run together
@@ -173,42 +173,43 @@
   std::string record;  // key of the record that names it
   const wire::MachineType* type = nullptr;
   MachineStage stage = MachineStage::kBooting;
-  bool may_hold_tasks = false;  // durable: from now on a task may be on it
-  bool mark_wanted = false;     // may_hold_tasks is on its way to the store
-  bool from_list = false;       // known only from the machine list
-  bool acknowledged = false;    // has seen our term
-  bool session_gone = false;    // its last session has provably ended
-  uint64_t session = 0;
-  uint64_t seq = 0;
-  double last_heard = 0;  // when the last report came whose answer may have renewed its lease
+  bool dispatchable = false;            // durable: from now on a task may be on it
+  bool dispatchable_requested = false;  // dispatchable is on its way to the store
+  bool from_list = false;               // known only from the machine list
+  bool acknowledged = false;            // has seen our term
+  bool epoch_expired = false;           // its last session has provably ended
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+  double last_heartbeat_at =
+      0;  // when the last report came whose answer may have renewed its lease
   // Answers of ours in a row that it has shown not to have received, and since when. See
-  // Cluster::JudgeHearing.
-  int missed_answers = 0;
-  double missed_since = 0;
-  double missed_last = 0;
-  bool deaf = false;
-  double rented_at = 0;
+  // Cluster::DetectDownlinkLoss.
+  int unacknowledged_responses = 0;
+  double unacknowledged_since = 0;
+  double last_unacknowledged_at = 0;
+  bool downlink_lost = false;
+  double requested_at = 0;
   std::optional<double> notice_at;  // when the cloud takes it away
-  bool retiring = false;            // no placements any more
+  bool cordoned = false;            // no placements any more
   bool draining = false;            // its services are being moved elsewhere, one by one
-  bool deleting = false;            // deletion asked for
-  bool delete_sent = false;         // a request is under way
-  double delete_retry_at = 0;
+  bool terminating = false;         // deletion asked for
+  bool termination_sent = false;    // a request is under way
+  double terminate_retry_at = 0;
   double idle_since = 0;
-  double no_room_until = 0;
+  double full_until = 0;
   std::set<std::string> failed_jobs;
   Resources capacity;
   Resources used;
   int services = 0;                    // tasks of services that may be on it
   int stopping = 0;                    // tasks that may be on it and have been told to stop
-  int spare_fit = 0;                   // production services it could take, from the last pass
+  int headroom_slots = 0;              // production services it could take, from the last pass
   std::array<Resources, 4> array_use;  // what arrays hold of it, by their priority
   std::map<AttemptKey, std::unique_ptr<Attempt>> attempts;
   std::set<std::string> images;
 };
 
 // One rent request and the machines it brought (or one adopted machine).
-struct RentRecord {
+struct ScaleOutRecord {
   std::string name;
   std::string type;
   std::string zone;
@@ -219,15 +220,15 @@
   bool stored = false;  // named durably: the request may be sent
   bool sending = false;
   double retry_at = 0;
-  double asked_at = 0;  // on this node's steady clock; the record holds the time of day
+  double requested_at = 0;  // on this node's steady clock; the record holds the time of day
   std::map<std::string, bool> machines;  // name -> may hold tasks
 };
 
 // What the service must do for the core.
-struct Effects {
-  std::vector<wire::RentRequest> rent;
-  std::vector<std::string> remove;  // machines to delete
-  bool empty() const { return rent.empty() && remove.empty(); }
+struct CloudActions {
+  std::vector<wire::ScaleOutRequest> scale_out;
+  std::vector<std::string> scale_in;  // machines to delete
+  bool empty() const { return scale_out.empty() && scale_in.empty(); }
 };
 
 enum class SubmitOutcome { kKnown, kAccepted, kPendingStore, kUnprocessable, kBusy, kUndecided };
@@ -235,8 +236,8 @@
 
 class Cluster {
  public:
-  Cluster(const config::Settings& settings, const config::OperatorSettings& tuning, uint64_t term,
-          double now, double wall_now, uint64_t random_seed, PassClock pass_clock = {});
+  Cluster(const config::Settings& settings, const config::OperatorSettings& operator_settings,
+          uint64_t term, double now, double wall_now, uint64_t random_seed, Clock clock = {});
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
@@ -261,13 +262,14 @@
   std::optional<JobView> View(const std::string& id) const;
 
   // ---- workers ----
-  struct ReportResult {
+  struct HeartbeatResult {
     bool refuse = false;  // answer 503: this report must not renew anything
     std::vector<wire::Command> commands;
   };
   // The caller must be entitled to answer workers (see election::Elector). `lapsed`: its own lease
   // may have ended, so a newer leader may exist.
-  ReportResult OnReport(const wire::Report& report, double now, bool lapsed = false);
+  HeartbeatResult OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
+                              bool lease_expired = false);
 
   // Every other controller knows this term: none can answer workers for an earlier one any more.
   void OnEarlierLeadersEnded(double now);
@@ -275,40 +277,40 @@
   // ---- cloud ----
   void OnMachineTypes(const std::vector<wire::MachineType>& types);
   bool HasMachineTypes() const { return !types_.empty(); }
-  enum class RentOutcome { kRented, kNoCapacity, kUnknown };
-  void OnRented(const std::string& name, RentOutcome outcome,
-                const std::vector<std::string>& machines, double now);
-  void OnDeleted(const std::vector<std::string>& machines, bool gone, double now);
+  enum class ScaleOutOutcome { kProvisioned, kNoCapacity, kUnknown };
+  void OnScaleOutAnswered(const std::string& name, ScaleOutOutcome outcome,
+                          const std::vector<std::string>& machines, double now);
+  void OnTerminated(const std::vector<std::string>& machines, bool gone, double now);
   void OnMachineList(const std::vector<wire::ListedMachine>& machines, double now);
 
   // ---- decisions; run after changes and at the times NextWake names ----
-  // `lapsed`: as for OnReport.
-  Effects Schedule(double now, bool lapsed = false);
+  // `lapsed`: as for OnHeartbeat.
+  CloudActions Schedule(double now, bool lease_expired = false);
   // A whole pass costs time for each job and machine: when much changes, one serves many changes.
   double NextWake() const {
-    return dirty_ ? std::min(next_wake_, pass_pacer_.next_at()) : next_wake_;
+    return schedule_due_ ? std::min(next_wake_, cycle_rate_limiter_.next_at()) : next_wake_;
   }
 
   // ---- records ----
-  bool HasDirty() const;
+  bool HasQueuedRecords() const;
   // The importance of the first dirty record.
-  Importance DirtyImportance() const;
+  Importance QueuedImportance() const;
   // Takes up to `max` dirty records: the most important first, the oldest of those first.
-  std::vector<std::string> TakeDirty(size_t max);
+  std::vector<std::string> DequeueRecords(size_t max);
   // Of a record that was taken and is not stored or given back yet.
   Importance ImportanceOf(const std::string& key) const;
   // What the record should hold now; nullopt: the key should not exist. What it covers is
   // remembered until OnStored or OnStoreFailed.
-  std::optional<wire::Json> Render(const std::string& key);
+  std::optional<wire::Json> Serialize(const std::string& key);
   void OnStored(const std::string& key, double now);
   // Puts a record back that could not be stored.
-  void OnNotStored(const std::string& key);
+  void Requeue(const std::string& key);
 
   // Jobs whose accepted, done or cancelled state became durable since the last call.
-  std::vector<std::string> TakeSettledJobs();
+  std::vector<std::string> TakeDurableStateChanges();
 
   uint64_t term() const { return term_; }
-  bool settled() const { return settled_; }
+  bool settled() const { return reconciled_; }
   size_t ActiveJobs() const { return active_jobs_.size(); }
   const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const { return jobs_; }
   const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return machines_; }
@@ -321,18 +323,20 @@
   static double KeepAliveLimit(const config::Settings& settings);
 
  private:
-  friend class SchedulePass;
+  friend class SchedulingCycle;
 
   // report.cc
-  void OnListedTask(Machine* m, const wire::ReportedTask& listed, double now, bool may_adopt,
+  void OnListedTask(Machine* m, const wire::TaskStatus& listed, double now, bool may_adopt,
                     std::vector<wire::Command>* extra);
   void OnEnded(Attempt* a, wire::EndCause cause, double now);
   void OnTaskError(Machine* m, Job* job, double now);
-  bool MayForget(const Attempt& a) const;
-  void JudgeHearing(Machine* m, const wire::Report& report, bool new_session, double now);
-  static bool Hears(const Machine& m) { return m.missed_answers < kDeafAnswers; }
-  void WithdrawUnheard(Machine* m, double now);
-  void Retire(Machine* m, double now);
+  bool MayAcknowledgeCompletion(const Attempt& a) const;
+  void DetectDownlinkLoss(Machine* m, const wire::Heartbeat& heartbeat, bool new_epoch, double now);
+  static bool ReceivesCommands(const Machine& m) {
+    return m.unacknowledged_responses < kUnacknowledgedLimit;
+  }
+  void RevokeUndelivered(Machine* m, double now);
+  void Cordon(Machine* m, double now);
   Machine* AdoptMachine(const std::string& id, const std::string& type, const std::string& zone,
                         bool spot, double now);
 
@@ -340,7 +344,7 @@
   static AttemptKey KeyOf(const Attempt& a) { return {a.job->serial, a.index, a.number}; }
   Attempt* AddAttempt(Machine* m, Job* job, uint32_t index, uint64_t number, double now);
   void Activate(Attempt* a);
-  void ReleaseRoom(Attempt* a);
+  void ReleaseAllocation(Attempt* a);
   void RemoveAttempt(Attempt* a, double now);
   void DropAllAttempts(Machine* m, double now);
   void TaskBackToPending(Attempt* from, wire::EndCause cause, double now);
@@ -351,80 +355,80 @@
   void StopGang(Job* job, bool save, double now);
   void StopToSave(Attempt* a, double now);
   void AdoptGangTask(Attempt* a, double now);
-  bool CanTellAll(const Job& job, double now) const;
+  bool CanStopAllTasks(const Job& job, double now) const;
   void OnGangTaskListed(Attempt* a);
   void OnGangTaskLost(Job* job, wire::EndCause cause, double now);
-  static bool MayReplaceLost(const Job& job);
+  static bool MayReplaceLostTasks(const Job& job);
   static bool GangIsClear(Job* job);
   void StopJob(Job* job, double now);
   void FinishJobIfOver(Job* job);
 
-  Machine* AddMachine(const std::string& id, RentRecord* record, double now);
+  Machine* AddMachine(const std::string& id, ScaleOutRecord* record, double now);
   void RemoveMachine(const std::string& id, double now);
-  RentRecord* RecordOf(const Machine& m);
-  void CheckSettled();
+  ScaleOutRecord* RecordOf(const Machine& m);
+  void CheckReconciled();
   bool MachineUsable(const Machine& m) const;
   // Tasks of earlier terms may be on it that this leader has not heard of.
-  static bool Unseen(const Machine& m) {
-    return m.may_hold_tasks && !m.acknowledged && !m.session_gone;
+  static bool MayHaveUnreconciledTasks(const Machine& m) {
+    return m.dispatchable && !m.acknowledged && !m.epoch_expired;
   }
   bool CanStandTogether(const wire::JobSpec& spec) const;
 
-  struct Dirty {
+  struct QueuePosition {
     Importance importance = Importance::kNormal;
-    uint64_t since = 0;                              // counts
-    auto operator<=>(const Dirty&) const = default;  // NOLINT(modernize-use-nullptr)
+    uint64_t since = 0;                                      // counts
+    auto operator<=>(const QueuePosition&) const = default;  // NOLINT(modernize-use-nullptr)
   };
-  void MarkDirty(const std::string& key, Importance importance);
-  void Enqueue(const std::string& key, Dirty dirty);
+  void EnqueueRecord(const std::string& key, Importance importance);
+  void Enqueue(const std::string& key, QueuePosition dirty);
   std::string JobKey(const std::string& id) const { return std::string(kJobPrefix) + id; }
   std::string DoneKey(const std::string& id, uint32_t chunk) const;
-  wire::Json RenderJob(const std::string& key, Job* job);
-  wire::Json RenderRent(const std::string& key, const RentRecord& rent);
+  wire::Json SerializeJob(const std::string& key, Job* job);
+  wire::Json SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out);
   Job* FindJob(const std::string& id) const;
   std::unique_ptr<Job> NewJob(const wire::JobSpec& spec, int64_t accepted_ms, double accepted_at);
   bool FitsType(const wire::JobSpec& spec, const wire::MachineType& type) const;
   bool LoadJob(const std::string& id, const wire::Json& value);
-  bool LoadRent(const std::string& name, const wire::Json& value);
+  bool LoadScaleOut(const std::string& name, const wire::Json& value);
   uint32_t ChunkSize() const;
   void BeginChunkSplit(Job* job);
   void WriteParts(Job* job);
   void OnJobRecordStored(Job* job, uint32_t chunk);
   void OnPartStored(Job* job, uint32_t chunk);
-  void MarkProgressDirty(Job* job, uint32_t index);
+  void EnqueueProgress(Job* job, uint32_t index);
   void DeleteChunks(const Job& job);
-  std::string RenderDoneSet(const Job& job, uint32_t first, uint32_t count, size_t max_bytes,
-                            std::vector<uint32_t>* covered) const;
-  std::optional<wire::Json> RenderChunk(const std::string& key, const Job& job, uint32_t chunk);
-  void Settle(Job* job, FinalState state, double now);
+  std::string SerializeDoneSet(const Job& job, uint32_t first, uint32_t count, size_t max_bytes,
+                               std::vector<uint32_t>* covered) const;
+  std::optional<wire::Json> SerializeChunk(const std::string& key, const Job& job, uint32_t chunk);
+  void Finalize(Job* job, FinalState state, double now);
   void MarkStored(Job* job, const std::vector<uint32_t>& done);
-  void OnRentStored(const std::string& key, const std::vector<std::string>& marks);
+  void OnScaleOutStored(const std::string& key, const std::vector<std::string>& dispatch_marks);
   void ApplyDone(Job* job, uint32_t first, const std::string& text);
 
   // machines.cc
-  void CheckMachines(double now, bool lapsed, Effects* effects);
+  void CheckMachines(double now, bool lease_expired, CloudActions* cloud_actions);
   void SaveBeforeNotice(Machine* m, double now);
 
   // scheduler.cc
-  void PlaceAndRent(double now);
-  void FillMachine(Machine* m, double now);
-  void DrawServices(Machine* m, double now);
-  void SendRents(double now, Effects* effects);
-  bool NeededAsSpareRoom(const Machine& m) const;
+  void RunSchedulingCycle(double now);
+  void BackfillMachine(Machine* m, double now);
+  void StealUnsentServices(Machine* m, double now);
+  void IssueScaleOut(double now, CloudActions* cloud_actions);
+  bool NeededAsHeadroom(const Machine& m) const;
 
   const config::Settings settings_;
-  const config::OperatorSettings tuning_;
+  const config::OperatorSettings operator_settings_;
   const admission::Limits admission_limits_;
   admission::AdmissionPolicy admission_;
   const uint64_t term_;
   const double started_at_;
-  double earlier_until_;      // until then an earlier leader may keep leases alive
-  const double wall_offset_;  // wall clock minus steady clock
+  double earlier_leader_deadline_;  // until then an earlier leader may keep leases alive
+  const double wall_offset_;        // wall clock minus steady clock
   std::mt19937_64 random_;
   uint64_t next_serial_ = 1;
-  uint64_t reports_ = 0;
+  uint64_t heartbeat_count_ = 0;
   uint32_t next_attempt_ = 1;
-  uint32_t next_rent_ = 1;
+  uint32_t next_scale_out_ = 1;
 
   // Jobs that are over and have nothing left on any machine; kept for good.
   struct FinishedJob {
@@ -437,8 +441,8 @@
   // in the order of their acceptance.
   std::map<std::pair<int64_t, std::string>, Job*> active_jobs_;
   std::map<std::string, std::unique_ptr<Machine>> machines_;
-  std::unordered_map<std::string, std::unique_ptr<RentRecord>> rents_;
-  std::unordered_set<std::string> deleted_;  // machines whose deletion was answered
+  std::unordered_map<std::string, std::unique_ptr<ScaleOutRecord>> scale_outs_;
+  std::unordered_set<std::string> terminated_;  // machines whose deletion was answered
   std::map<std::string, size_t> machines_in_zone_;
   std::map<std::string, wire::MachineType> types_;
   std::map<std::string, Resources> team_usage_;
@@ -446,42 +450,42 @@
   std::map<AttemptKey, Attempt*> unsent_services_;
   // Offers (type, zone and kind) that the cloud had too few of are left alone, for longer each
   // time.
-  struct Refusal {
+  struct CapacityBackoff {
     double until = 0;
-    double pause_s = 0;
+    double backoff_s = 0;
   };
-  std::map<std::string, Refusal> refusals_;
-  TokenBucket rent_tokens_;
+  std::map<std::string, CapacityBackoff> capacity_backoffs_;
+  TokenBucket scale_out_rate_limiter_;
 
-  std::unordered_map<std::string, Dirty> dirty_records_;
-  std::map<Dirty, std::string> dirty_order_;
-  std::unordered_map<std::string, Dirty> taken_records_;
-  uint64_t next_dirty_ = 1;
+  std::unordered_map<std::string, QueuePosition> queued_records_;
+  std::map<QueuePosition, std::string> record_order_;
+  std::unordered_map<std::string, QueuePosition> in_flight_records_;
+  uint64_t next_queue_position_ = 1;
   // What a record that was rendered and is not stored yet says.
-  struct Rendered {
-    std::vector<uint32_t> done;      // tasks whose completion it covers
-    std::vector<std::string> marks;  // machines that it says may hold tasks
+  struct InFlightWrite {
+    std::vector<uint32_t> done;               // tasks whose completion it covers
+    std::vector<std::string> dispatch_marks;  // machines that it says may hold tasks
     FinalState final_state = FinalState::kNone;
     uint32_t chunk = 0;  // of a job's record
   };
-  std::unordered_map<std::string, Rendered> rendered_;
+  std::unordered_map<std::string, InFlightWrite> in_flight_writes_;
   // Done chunks that were read before their job.
   std::map<std::string, std::map<uint32_t, std::string>> loaded_done_;
-  std::vector<std::string> settled_jobs_;
-  // By how many tasks the spare room for production services (Machine::spare_fit) was more than is
-  // wanted in the last pass.
-  int spare_surplus_ = 0;
+  std::vector<std::string> durable_state_changes_;
+  // By how many tasks the spare room for production services (Machine::headroom_slots) was more
+  // than is wanted in the last pass.
+  int headroom_surplus_ = 0;
   // Room that the last pass kept for gangs that have waited too long, by machine.
-  std::map<std::string, Resources> reserved_;
+  std::map<std::string, Resources> starved_gang_reservations_;
   // Room that the last pass kept free for gangs to come, by machine.
-  std::map<std::string, Resources> gang_room_;
+  std::map<std::string, Resources> gang_headroom_;
   GangArrivals gang_arrivals_;
-  bool settled_ = false;
-  bool dirty_ = true;
+  bool reconciled_ = false;
+  bool schedule_due_ = true;
   double next_wake_ = 0;
   double retry_at_ = 0;  // when pending jobs are tried again even if nothing has changed
-  PassPacer pass_pacer_;
-  double move_at_ = 0;  // no service is moved before
+  CycleRateLimiter cycle_rate_limiter_;
+  double next_migration_at_ = 0;  // no service is moved before
 };
 
 }  // namespace zinclead::core
--- a/src/core/pass_pacer.cc
+++ b/src/core/cycle_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "core/pass_pacer.h"
+#include "core/cycle_rate_limiter.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-PassPacer::PassPacer(const config::Settings& settings, const config::OperatorSettings& tuning,
-                     PassClock clock)
-    : least_interval_s_(kLeastIntervalShare * settings.report_s),
-      most_interval_s_(std::max(least_interval_s_, tuning.retry_s)),
+CycleRateLimiter::CycleRateLimiter(const config::Settings& settings,
+                                   const config::OperatorSettings& operator_settings, Clock clock)
+    : least_interval_s_(kLeastIntervalShare * settings.heartbeat_interval_s),
+      most_interval_s_(std::max(least_interval_s_, operator_settings.retry_s)),
       clock_(std::move(clock)) {}
 
-void PassPacer::Run(double now, const std::function<void()>& pass) {
+void CycleRateLimiter::Run(double now, const std::function<void()>& pass) {
   const double began = clock_ ? clock_() : 0;
   pass();
   const double used_s = clock_ ? clock_() - began : 0;
--- a/src/core/pass_pacer.h
+++ b/src/core/cycle_rate_limiter.h
@@ -1,6 +1,6 @@
 // Spaces whole scheduling passes so that a slow node spends a bounded share of its time in them.
-#ifndef ZINCLEAD_CORE_PASS_PACER_H_
-#define ZINCLEAD_CORE_PASS_PACER_H_
+#ifndef ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
+#define ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
 
 #include <functional>
 
@@ -10,13 +10,13 @@
 namespace zinclead::core {
 
 // Seconds on a steady clock.
-using PassClock = std::function<double()>;
+using Clock = std::function<double()>;
 
-class PassPacer {
+class CycleRateLimiter {
  public:
   // Without a clock passes count as free, and only the least interval is kept.
-  PassPacer(const config::Settings& settings, const config::OperatorSettings& tuning,
-            PassClock clock);
+  CycleRateLimiter(const config::Settings& settings,
+                   const config::OperatorSettings& operator_settings, Clock clock);
 
   // Runs `pass` and sets when the next one may run.
   void Run(double now, const std::function<void()>& pass);
@@ -26,10 +26,10 @@
  private:
   const double least_interval_s_;
   const double most_interval_s_;
-  const PassClock clock_;
+  const Clock clock_;
   double next_at_ = 0;
 };
 
 }  // namespace zinclead::core
 
-#endif  // ZINCLEAD_CORE_PASS_PACER_H_
+#endif  // ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
--- a/src/core/gang.cc
+++ b/src/core/gang.cc
@@ -49,8 +49,8 @@
   On(GangEvent::kGaveUp);
 }
 
-bool CanStopOrderly(const config::Settings& settings) {
-  return wire::kLatestReportShare * settings.report_s < settings.gang_peer_s;
+bool CanStopGracefully(const config::Settings& settings) {
+  return wire::kMaxHeartbeatIntervalRatio * settings.heartbeat_interval_s < settings.gang_peer_s;
 }
 
 }  // namespace zinclead::core
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -60,9 +60,9 @@
 };
 
 // Whether commands in answers to reports reach all tasks of a gang within `gang_peer_s` of the
-// first, so that a stop loses no progress: each machine reports after `report_s` and a quarter at
-// the latest. Where that is too slow a gang is stopped without saving.
-bool CanStopOrderly(const config::Settings& settings);
+// first, so that a stop loses no progress: each machine reports after `heartbeat_interval_s` and a
+// quarter at the latest. Where that is too slow a gang is stopped without saving.
+bool CanStopGracefully(const config::Settings& settings);
 
 }  // namespace zinclead::core
 
--- a/src/core/gangs.cc
+++ b/src/core/gangs.cc
@@ -14,9 +14,9 @@
 
 // Reports since a loss that must show a task waiting before the lost one is replaced: the first may
 // have been on its way when the task was lost.
-constexpr int kReportsToReplace = 2;
+constexpr int kHeartbeatsToReplace = 2;
 
-bool ShowsStart(AttemptPhase phase) {
+bool HasStarted(AttemptPhase phase) {
   return phase == AttemptPhase::kRunning || phase == AttemptPhase::kSaving;
 }
 
@@ -34,7 +34,7 @@
 // runs on; it would lose no less by the stop.
 void Cluster::StopToSave(Attempt* a, double now) {
   if (a->job->gang) {
-    if (CanTellAll(*a->job, now)) StopGang(a->job, true, now);
+    if (CanStopAllTasks(*a->job, now)) StopGang(a->job, true, now);
   } else {
     StopAttempt(a, a->job->spec.save_s, now);
   }
@@ -47,23 +47,24 @@
 
 // Whether a stop would reach every task of the gang in time to save: all of them are known, and
 // their machines report as often as they should.
-bool Cluster::CanTellAll(const Job& job, double now) const {
-  const double latest_s = wire::kLatestReportShare * settings_.report_s;
-  return CanStopOrderly(settings_) && job.active.size() == job.spec.tasks &&
+bool Cluster::CanStopAllTasks(const Job& job, double now) const {
+  const double latest_s = wire::kMaxHeartbeatIntervalRatio * settings_.heartbeat_interval_s;
+  return CanStopGracefully(settings_) && job.active.size() == job.spec.tasks &&
          std::all_of(job.active.begin(), job.active.end(), [&](const auto& entry) {
            const Machine& m = *entry.second->machine;
-           return Hears(m) && now - m.last_heard <= latest_s + wire::kLeastBetweenReportsS;
+           return ReceivesCommands(m) &&
+                  now - m.last_heartbeat_at <= latest_s + wire::kMinHeartbeatIntervalS;
          });
 }
 
 void Cluster::OnGangTaskListed(Attempt* a) {
   Gang& gang = *a->job->gang;
   if (a->number != gang.attempt()) return;
-  if (ShowsStart(a->phase)) {
+  if (HasStarted(a->phase)) {
     gang.On(GangEvent::kSeenRunning);
   } else {
-    ++a->waiting_reports;
-    if (a->job->pending > 0 && a->waiting_reports == kReportsToReplace) dirty_ = true;
+    ++a->waiting_heartbeats;
+    if (a->job->pending > 0 && a->waiting_heartbeats == kHeartbeatsToReplace) schedule_due_ = true;
   }
 }
 
@@ -75,7 +76,7 @@
     // No machine is at fault. What kept the gang from being complete may last.
     gang.OnGaveUp();
     const int doublings = std::min(gang.give_ups() - 1, kMostPauseDoublings);
-    job->not_before = now + tuning_.retry_s * std::pow(2.0, std::max(0, doublings));
+    job->not_before = now + operator_settings_.retry_s * std::pow(2.0, std::max(0, doublings));
   } else {
     if (cause == wire::EndCause::kPeers) gang.On(GangEvent::kSeenRunning);
     gang.On(GangEvent::kTaskLost);
@@ -85,24 +86,24 @@
     StopGang(job, false, now);
     return;
   }
-  for (auto& [index, other] : job->active) other->waiting_reports = 0;
+  for (auto& [index, other] : job->active) other->waiting_heartbeats = 0;
 }
 
 // Whether the gang's lost tasks may be started again with the number of its attempt: everything
 // that is left of it has shown since the loss that it still waits, so the gang had not run while it
 // was whole, and without the lost tasks it can't.
-bool Cluster::MayReplaceLost(const Job& job) {
+bool Cluster::MayReplaceLostTasks(const Job& job) {
   return job.gang->MayReplace() && !job.active.empty() &&
          std::all_of(job.active.begin(), job.active.end(), [](const auto& entry) {
            const Attempt& a = *entry.second;
-           return !a.stop && (!a.start_sent || a.waiting_reports >= kReportsToReplace);
+           return !a.stop && (!a.start_sent || a.waiting_heartbeats >= kHeartbeatsToReplace);
          });
 }
 
 // Whether nothing of the gang can be on a machine any more, so that it may start anew.
 bool Cluster::GangIsClear(Job* job) {
   const bool clear = std::none_of(job->attempts.begin(), job->attempts.end(),
-                                  [](const Attempt* a) { return a->holds_room; });
+                                  [](const Attempt* a) { return a->holds_allocation; });
   if (clear) job->gang->On(GangEvent::kCleared);
   return clear;
 }
--- a/src/core/report.cc
+++ b/src/core/heartbeats.cc
@@ -10,14 +10,14 @@
 namespace {
 
 // A machine on which the tasks of this many jobs failed is faulty.
-constexpr size_t kMachineAtFault = 2;
+constexpr size_t kFaultyMachineThreshold = 2;
 
 // A job that fails everywhere is tried again after at most this many doublings of the retry
 // interval: machines may be at fault all the same, and no job waits 90 s beside room.
 constexpr int kMostFaultDoublings = 3;
 
 // An answer is on its way for this share of a report period before its effect can be missed.
-constexpr double kAnswerShare = 0.1;
+constexpr double kResponseDelayShare = 0.1;
 
 AttemptPhase PhaseOf(wire::TaskPhase phase) {
   switch (phase) {
@@ -45,33 +45,35 @@
 
 }  // namespace
 
-Cluster::ReportResult Cluster::OnReport(const wire::Report& report, double now, bool lapsed) {
-  ReportResult result;
-  if (deleted_.contains(report.machine)) {
+Cluster::HeartbeatResult Cluster::OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
+                                              bool lease_expired) {
+  HeartbeatResult result;
+  if (terminated_.contains(heartbeat.machine)) {
     result.refuse = true;  // a late message of a machine that is gone
     return result;
   }
   Machine* m = nullptr;
-  if (const auto it = machines_.find(report.machine); it != machines_.end()) {
+  if (const auto it = machines_.find(heartbeat.machine); it != machines_.end()) {
     m = it->second.get();
   } else {
     // The records name every machine that can hold a task. One that they don't name and that lists
     // tasks has been deleted, maybe by an earlier leader: this is a late copy of its reports.
-    if (!report.tasks.empty()) {
+    if (!heartbeat.tasks.empty()) {
       result.refuse = true;
       return result;
     }
     // Such a copy may also list nothing. Only what shows this term was surely sent in it: until
     // then the machine gets an answer, so that it learns the term, and is not taken in.
-    if (report.token < term_) return result;
-    m = AdoptMachine(report.machine, report.type, report.zone, report.spot, now);
+    if (heartbeat.fencing_token < term_) return result;
+    m = AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
   }
-  if (report.session < m->session || (report.session == m->session && report.seq <= m->seq)) {
+  if (heartbeat.agent_epoch < m->agent_epoch ||
+      (heartbeat.agent_epoch == m->agent_epoch && heartbeat.sequence <= m->sequence)) {
     // Late or repeated. Its worker no longer waits for an answer to it.
     result.refuse = true;
     return result;
   }
-  if (m->acknowledged && report.token < term_) {
+  if (m->acknowledged && heartbeat.fencing_token < term_) {
     // A worker keeps the highest token it has seen. So this is a late copy from before the machine
     // came back with its counters begun anew, and tells nothing of what is on it now; or the
     // machine has forgotten the term, may be commanded by an earlier leader, and is better
@@ -79,56 +81,56 @@
     result.refuse = true;
     return result;
   }
-  if (report.session == m->session && m->session_gone) {
+  if (heartbeat.agent_epoch == m->agent_epoch && m->epoch_expired) {
     // Its session has provably ended and its tasks may run elsewhere: never renew it.
     result.refuse = true;
     return result;
   }
-  const bool new_session = m->session != 0 && report.session > m->session;
-  JudgeHearing(m, report, new_session, now);
-  if (m->deaf) {
+  const bool new_epoch = m->agent_epoch != 0 && heartbeat.agent_epoch > m->agent_epoch;
+  DetectDownlinkLoss(m, heartbeat, new_epoch, now);
+  if (m->downlink_lost) {
     // Nothing of ours reaches it: no answer may seem to renew its lease, and a new session does not
     // make it hear. It is being deleted.
-    m->session = report.session;
-    m->seq = report.seq;
-    if (new_session) DropAllAttempts(m, now);
+    m->agent_epoch = heartbeat.agent_epoch;
+    m->sequence = heartbeat.sequence;
+    if (new_epoch) DropAllAttempts(m, now);
     result.refuse = true;
     return result;
   }
-  if (new_session) DropAllAttempts(m, now);  // the worker killed them all when its session ended
-  m->session_gone = false;
-  m->session = report.session;
-  m->seq = report.seq;
-  m->last_heard = now;
+  if (new_epoch) DropAllAttempts(m, now);  // the worker killed them all when its session ended
+  m->epoch_expired = false;
+  m->agent_epoch = heartbeat.agent_epoch;
+  m->sequence = heartbeat.sequence;
+  m->last_heartbeat_at = now;
   m->from_list = false;
   if (m->stage == MachineStage::kBooting) {
     m->stage = MachineStage::kUp;
     m->idle_since = now;
-    dirty_ = true;
+    schedule_due_ = true;
   }
-  if (!m->may_hold_tasks && !m->mark_wanted && !m->deleting) {
+  if (!m->dispatchable && !m->dispatchable_requested && !m->terminating) {
     // The record must say that tasks may be here before the first one is sent.
-    m->mark_wanted = true;
-    MarkDirty(std::string(kMachinePrefix) + m->record, Importance::kUser);
+    m->dispatchable_requested = true;
+    EnqueueRecord(std::string(kMachinePrefix) + m->record, Importance::kUser);
   }
-  if (report.notice_s) {
-    m->notice_at = now + *report.notice_s;
-    if (!m->retiring) {
-      m->retiring = true;
-      dirty_ = true;
+  if (heartbeat.notice_s) {
+    m->notice_at = now + *heartbeat.notice_s;
+    if (!m->cordoned) {
+      m->cordoned = true;
+      schedule_due_ = true;
     }
   }
 
   // What earlier terms started here is taken over until the worker has seen this term: from then on
   // only this leader starts anything here.
   const bool may_adopt = !m->acknowledged;
-  ++reports_;
-  for (const wire::ReportedTask& task : report.tasks) {
+  ++heartbeat_count_;
+  for (const wire::TaskStatus& task : heartbeat.tasks) {
     OnListedTask(m, task, now, may_adopt, &result.commands);
   }
   std::vector<Attempt*> vanished;
   for (auto& [key, a] : m->attempts) {
-    if (a->listed_in == reports_) continue;
+    if (a->listed_in_heartbeat == heartbeat_count_) continue;
     // Listed before: forgotten by command, or lost. Never listed: if a start was in an answer to an
     // earlier report, the worker dropped that answer for good, so a stop is complete at once.
     if (a->listed || a->stop) vanished.push_back(a.get());
@@ -137,35 +139,36 @@
 
   // A lapsed leader keeps up what runs, but takes no machine over: one that came back with its
   // token forgotten may have followed a newer leader, which does not wait for it any more.
-  if (report.token >= term_ && !m->acknowledged && !lapsed) {
+  if (heartbeat.fencing_token >= term_ && !m->acknowledged && !lease_expired) {
     m->acknowledged = true;
-    dirty_ = true;
-    CheckSettled();
+    schedule_due_ = true;
+    CheckReconciled();
   }
 
-  WithdrawUnheard(m, now);
+  RevokeUndelivered(m, now);
 
   // A start waits for the report of its machine, up to a report period and a quarter. What waits
   // for another machine's is started here if this one suits as well.
-  if (!lapsed && !unsent_services_.empty() && MachineUsable(*m)) DrawServices(m, now);
+  if (!lease_expired && !unsent_services_.empty() && MachineUsable(*m)) StealUnsentServices(m, now);
 
   // Freed room is filled in this very answer rather than in the next one.
-  if (!lapsed && dirty_ && MachineUsable(*m)) {
-    if (now >= pass_pacer_.next_at()) {
-      PlaceAndRent(now);
+  if (!lease_expired && schedule_due_ && MachineUsable(*m)) {
+    if (now >= cycle_rate_limiter_.next_at()) {
+      RunSchedulingCycle(now);
     } else {
-      FillMachine(m, now);
+      BackfillMachine(m, now);
     }
   }
 
   for (auto& [key, a] : m->attempts) {
     if (a->phase == AttemptPhase::kEnded) {
-      if (MayForget(*a)) result.commands.push_back(CommandFor(wire::CommandOp::kForget, *a));
+      if (MayAcknowledgeCompletion(*a))
+        result.commands.push_back(CommandFor(wire::CommandOp::kAcknowledgeCompletion, *a));
     } else if (a->stop) {
       if (a->phase != AttemptPhase::kSaving || a->grace_s == 0) {
         result.commands.push_back(CommandFor(wire::CommandOp::kStop, *a, a->grace_s));
       }
-    } else if (a->phase == AttemptPhase::kPlaced && !lapsed && a->job->Live()) {
+    } else if (a->phase == AttemptPhase::kPlaced && !lease_expired && a->job->Live()) {
       // What ends with the lease is the right to start, not the duty to keep leases alive: a newer
       // leader may have told a user that the job is cancelled, and from then on none of its tasks
       // may start. Nor is a start repeated while the cancellation is on its way to the store.
@@ -182,20 +185,23 @@
 // takeover, since it never shows the term. So life is not that it reports but that it has shown to
 // have received something: a report that knows nothing of what earlier answers said counts against
 // it. CheckMachines deletes those that are deaf, unless so many are that it must be us.
-void Cluster::JudgeHearing(Machine* m, const wire::Report& report, bool new_session, double now) {
-  if (m->session == 0 || now - m->last_heard < kAnswerShare * settings_.report_s) return;
+void Cluster::DetectDownlinkLoss(Machine* m, const wire::Heartbeat& heartbeat, bool new_epoch,
+                                 double now) {
+  if (m->agent_epoch == 0 ||
+      now - m->last_heartbeat_at < kResponseDelayShare * settings_.heartbeat_interval_s)
+    return;
   bool heard = false;
   bool missed = false;
-  if (new_session) {
-    missed = now - m->last_heard < settings_.lease_s;  // it was being answered
-  } else if (report.token < term_) {
+  if (new_epoch) {
+    missed = now - m->last_heartbeat_at < settings_.lease_s;  // it was being answered
+  } else if (heartbeat.fencing_token < term_) {
     missed = true;
   } else {
     heard = !m->acknowledged;
     for (const auto& [key, a] : m->attempts) {
       if (!a->start_sent || a->listed) continue;
       missed = true;
-      for (const wire::ReportedTask& task : report.tasks) {
+      for (const wire::TaskStatus& task : heartbeat.tasks) {
         if (task.attempt == a->number && task.task.index == a->index &&
             task.task.job == a->job->spec.id) {
           heard = true;
@@ -204,25 +210,25 @@
     }
   }
   if (heard) {
-    m->missed_answers = 0;
+    m->unacknowledged_responses = 0;
   } else if (missed) {
-    if (m->missed_answers++ == 0) m->missed_since = now;
-    m->missed_last = now;
+    if (m->unacknowledged_responses++ == 0) m->unacknowledged_since = now;
+    m->last_unacknowledged_at = now;
   }
 }
 
 // What was sent to a machine that seems not to hear us, and that its later reports don't list, was
 // not executed and never will be: it need not wait there for the end of its lease.
-void Cluster::WithdrawUnheard(Machine* m, double now) {
-  if (Hears(*m)) return;
-  std::vector<Attempt*> unheard;
+void Cluster::RevokeUndelivered(Machine* m, double now) {
+  if (ReceivesCommands(*m)) return;
+  std::vector<Attempt*> undelivered;
   for (auto& [key, a] : m->attempts) {
-    if (a->phase == AttemptPhase::kPlaced && !a->listed) unheard.push_back(a.get());
+    if (a->phase == AttemptPhase::kPlaced && !a->listed) undelivered.push_back(a.get());
   }
-  for (Attempt* a : unheard) RemoveAttempt(a, now);
+  for (Attempt* a : undelivered) RemoveAttempt(a, now);
 }
 
-void Cluster::OnListedTask(Machine* m, const wire::ReportedTask& listed, double now, bool may_adopt,
+void Cluster::OnListedTask(Machine* m, const wire::TaskStatus& listed, double now, bool may_adopt,
                            std::vector<wire::Command>* extra) {
   Job* job = FindJob(listed.task.job);
   const bool ended = listed.phase == wire::TaskPhase::kEnded;
@@ -230,8 +236,8 @@
     // Over, or never accepted: accepted jobs are stored before anything of them starts. It counts
     // for no team, and need not: until the machine acknowledges the term teams with a limit wait,
     // and the answer that brings it the term brings this stop.
-    extra->push_back({ended ? wire::CommandOp::kForget : wire::CommandOp::kStop, listed.task,
-                      listed.attempt, 0});
+    extra->push_back({ended ? wire::CommandOp::kAcknowledgeCompletion : wire::CommandOp::kStop,
+                      listed.task, listed.attempt, 0});
     return;
   }
   const auto it = m->attempts.find({job->serial, listed.task.index, listed.attempt});
@@ -248,7 +254,7 @@
     }
   }
   a->listed = true;
-  a->listed_in = reports_;
+  a->listed_in_heartbeat = heartbeat_count_;
   if (a->phase == AttemptPhase::kEnded) return;
   const AttemptPhase phase = PhaseOf(listed.phase);
   if (phase == AttemptPhase::kEnded) {
@@ -263,7 +269,7 @@
       --job->running;
     }
   }
-  if (OnMachine(phase)) job->begun = true;
+  if (OnMachine(phase)) job->started = true;
   if (OnMachine(phase) || phase == AttemptPhase::kWaiting) m->images.insert(job->spec.image);
   a->phase = phase;
   if (job->gang) OnGangTaskListed(a);
@@ -273,12 +279,12 @@
 void Cluster::OnEnded(Attempt* a, wire::EndCause cause, double now) {
   Job* job = a->job;
   Machine* m = a->machine;
-  ReleaseRoom(a);
+  ReleaseAllocation(a);
   a->phase = AttemptPhase::kEnded;
   a->cause = cause;
   if (m->attempts.size() == 1) m->idle_since = now;
   if (cause == wire::EndCause::kDone) {
-    job->begun = true;
+    job->started = true;
     m->failed_jobs.clear();
     if (job->Live()) OnTaskDone(a, now);
     return;
@@ -288,13 +294,13 @@
     case wire::EndCause::kError:
       OnTaskError(m, job, now);
       break;
-    case wire::EndCause::kNoRoom:
-    case wire::EndCause::kInUse:
+    case wire::EndCause::kInsufficientCapacity:
+    case wire::EndCause::kConflict:
       // Something is on the machine that we do not count; its next reports will tell.
-      m->no_room_until = now + settings_.report_s;
+      m->full_until = now + settings_.heartbeat_interval_s;
       break;
-    case wire::EndCause::kNoSuch:
-      job->not_before = now + tuning_.retry_s;
+    case wire::EndCause::kUnknownTask:
+      job->not_before = now + operator_settings_.retry_s;
       break;
     default:
       break;
@@ -319,26 +325,26 @@
 void Cluster::OnTaskError(Machine* m, Job* job, double now) {
   job->failed_on[m->id] = now;
   m->failed_jobs.insert(job->spec.id);
-  if (job->failed_on.size() >= kJobAtFault) {
+  if (job->failed_on.size() >= kFaultyJobThreshold) {
     // A mistake in the job: it fails everywhere. It backs off, and no machine is blamed for it.
-    const int doublings =
-        std::min<int>(static_cast<int>(job->failed_on.size() - kJobAtFault), kMostFaultDoublings);
-    job->not_before = now + tuning_.retry_s * std::pow(2.0, doublings);
+    const int doublings = std::min<int>(
+        static_cast<int>(job->failed_on.size() - kFaultyJobThreshold), kMostFaultDoublings);
+    job->not_before = now + operator_settings_.retry_s * std::pow(2.0, doublings);
     for (auto& [id, machine] : machines_) machine->failed_jobs.erase(job->spec.id);
     return;
   }
-  if (m->failed_jobs.size() >= kMachineAtFault) Retire(m, now);
+  if (m->failed_jobs.size() >= kFaultyMachineThreshold) Cordon(m, now);
 }
 
-void Cluster::Retire(Machine* m, double now) {
-  m->retiring = true;
+void Cluster::Cordon(Machine* m, double now) {
+  m->cordoned = true;
   for (auto& [key, a] : m->attempts) StopToSave(a.get(), now);
-  dirty_ = true;
+  schedule_due_ = true;
 }
 
 // A completed task is forgotten only when its completion is durable: until then the worker's list
 // is what a new leader learns it from.
-bool Cluster::MayForget(const Attempt& a) const {
+bool Cluster::MayAcknowledgeCompletion(const Attempt& a) const {
   if (a.cause != wire::EndCause::kDone) return true;
   return a.job->final_state != FinalState::kNone || a.job->tasks[a.index] == TaskState::kDone;
 }
--- a/src/core/progress.cc
+++ b/src/core/progress.cc
@@ -27,8 +27,8 @@
 // as fits `max_bytes`, and more follows when the text has become shorter. If not even what is
 // durable fits, all of it is returned: the state service refuses that, or takes it while its limits
 // last.
-std::string Cluster::RenderDoneSet(const Job& job, uint32_t first, uint32_t count, size_t max_bytes,
-                                   std::vector<uint32_t>* covered) const {
+std::string Cluster::SerializeDoneSet(const Job& job, uint32_t first, uint32_t count,
+                                      size_t max_bytes, std::vector<uint32_t>* covered) const {
   if (first >= job.spec.tasks) return "";
   count = std::min(count, job.spec.tasks - first);
   const auto encode = [&](uint32_t unstored_below) {
@@ -50,28 +50,28 @@
   return text;
 }
 
-std::optional<wire::Json> Cluster::RenderChunk(const std::string& key, const Job& job,
-                                               uint32_t chunk) {
-  Rendered& rendered = rendered_[key] = {};
+std::optional<wire::Json> Cluster::SerializeChunk(const std::string& key, const Job& job,
+                                                  uint32_t chunk) {
+  InFlightWrite& in_flight = in_flight_writes_[key] = {};
   const bool splitting = job.chunk_split != ChunkSplit::kNone;
   const uint32_t size = splitting ? ChunkSize() : job.done_chunk;
   if (uint64_t{chunk} * size >= job.spec.tasks) return std::nullopt;
   // Two bytes are the quotes of the JSON string.
   std::string text =
-      RenderDoneSet(job, chunk * size, size, settings_.ValueBytes() - 2, &rendered.done);
+      SerializeDoneSet(job, chunk * size, size, settings_.ValueBytes() - 2, &in_flight.done);
   // Until the job's record says the smaller chunk size, no reader understands this one.
-  if (splitting) rendered.done.clear();
+  if (splitting) in_flight.done.clear();
   if (text.empty()) return std::nullopt;
   return wire::Json(std::move(text));
 }
 
-void Cluster::MarkProgressDirty(Job* job, uint32_t index) {
+void Cluster::EnqueueProgress(Job* job, uint32_t index) {
   // Written when the split is over. Until then the job's record must not change: what it shows as
   // done has to be in the smaller chunks before it says their size.
   if (job->chunk_split != ChunkSplit::kNone) return;
   const uint32_t chunk = index / job->done_chunk;
-  MarkDirty(chunk == 0 ? JobKey(job->spec.id) : DoneKey(job->spec.id, chunk),
-            Importance::kBackground);
+  EnqueueRecord(chunk == 0 ? JobKey(job->spec.id) : DoneKey(job->spec.id, chunk),
+                Importance::kBackground);
 }
 
 void Cluster::BeginChunkSplit(Job* job) {
@@ -81,18 +81,18 @@
   if (description > most) return;  // its record can't be written any more, whatever the chunk
   if (job->spec.tasks <= job->done_chunk) return WriteParts(job);
   std::vector<uint32_t> covered;
-  const std::string done = RenderDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
+  const std::string done = SerializeDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
   // What does not fit one record stays in the chunks that it has, each with as much as fits.
   if (description + done.size() > most) return;
   job->chunk_split = ChunkSplit::kCollapsing;
-  MarkDirty(JobKey(job->spec.id), Importance::kBackground);
+  EnqueueRecord(JobKey(job->spec.id), Importance::kBackground);
 }
 
 void Cluster::WriteParts(Job* job) {
   job->chunk_split = ChunkSplit::kWritingParts;
   for (uint32_t chunk = 1; uint64_t{chunk} * ChunkSize() < job->spec.tasks; ++chunk) {
     job->parts_left.insert(chunk);
-    MarkDirty(DoneKey(job->spec.id, chunk), Importance::kBackground);
+    EnqueueRecord(DoneKey(job->spec.id, chunk), Importance::kBackground);
   }
   if (job->parts_left.empty()) OnPartStored(job, 0);
 }
@@ -102,7 +102,7 @@
   job->parts_left.erase(chunk);
   if (!job->parts_left.empty()) return;
   job->chunk_split = ChunkSplit::kSwitching;
-  MarkDirty(JobKey(job->spec.id), Importance::kBackground);
+  EnqueueRecord(JobKey(job->spec.id), Importance::kBackground);
 }
 
 void Cluster::OnJobRecordStored(Job* job, uint32_t chunk) {
@@ -113,7 +113,7 @@
     job->done_chunk = chunk;
     job->chunk_split = ChunkSplit::kNone;
     for (uint32_t i = 0; i < job->spec.tasks; ++i) {
-      if (job->tasks[i] == TaskState::kDoneUnstored) MarkProgressDirty(job, i);
+      if (job->tasks[i] == TaskState::kDoneUnstored) EnqueueProgress(job, i);
     }
   }
 }
@@ -122,7 +122,7 @@
   // Of a split that is not over there may be records in chunks of either size.
   const uint32_t size = std::min(job.done_chunk, ChunkSize());
   for (uint32_t chunk = 1; uint64_t{chunk} * size < job.spec.tasks; ++chunk) {
-    MarkDirty(DoneKey(job.spec.id, chunk), Importance::kBackground);
+    EnqueueRecord(DoneKey(job.spec.id, chunk), Importance::kBackground);
   }
 }
 
--- a/src/core/records.cc
+++ b/src/core/records.cc
@@ -35,11 +35,12 @@
 
 bool Cluster::LoadRecord(const std::string& key, const Json& value) {
   if (value == EmptiedRecord()) {
-    MarkDirty(key, Importance::kBackground);  // to be deleted now
+    EnqueueRecord(key, Importance::kBackground);  // to be deleted now
     return true;
   }
   if (StartsWith(key, kJobPrefix)) return LoadJob(key.substr(kJobPrefix.size()), value);
-  if (StartsWith(key, kMachinePrefix)) return LoadRent(key.substr(kMachinePrefix.size()), value);
+  if (StartsWith(key, kMachinePrefix))
+    return LoadScaleOut(key.substr(kMachinePrefix.size()), value);
   if (StartsWith(key, kTypePrefix)) {
     auto type = wire::MachineTypeFromJson(value);
     if (!type) return false;
@@ -99,26 +100,26 @@
   });
 }
 
-bool Cluster::LoadRent(const std::string& name, const Json& value) {
+bool Cluster::LoadScaleOut(const std::string& name, const Json& value) {
   if (!value.is_object()) return false;
-  auto rent = std::make_unique<RentRecord>();
-  rent->name = name;
-  rent->type = value.value("type", std::string());
-  rent->zone = value.value("zone", std::string());
-  rent->spot = value.value("spot", false);
-  rent->count = value.value("count", 0);
-  rent->adopted = value.value("adopted", false);
-  rent->stored = true;
-  rent->asked_at = std::min(
+  auto scale_out = std::make_unique<ScaleOutRecord>();
+  scale_out->name = name;
+  scale_out->type = value.value("type", std::string());
+  scale_out->zone = value.value("zone", std::string());
+  scale_out->spot = value.value("spot", false);
+  scale_out->count = value.value("count", 0);
+  scale_out->adopted = value.value("adopted", false);
+  scale_out->stored = true;
+  scale_out->requested_at = std::min(
       started_at_, static_cast<double>(value.value("asked_ms", int64_t{0})) / 1000 - wall_offset_);
   const auto machines = value.find("machines");
   if (machines != value.end() && machines->is_object()) {
-    rent->answered = true;
-    for (const auto& [id, mark] : machines->items()) {
-      rent->machines[id] = mark.is_number_integer() && mark.get<int>() == 1;
+    scale_out->answered = true;
+    for (const auto& [id, dispatch_mark] : machines->items()) {
+      scale_out->machines[id] = dispatch_mark.is_number_integer() && dispatch_mark.get<int>() == 1;
     }
   }
-  rents_[name] = std::move(rent);
+  scale_outs_[name] = std::move(scale_out);
   return true;
 }
 
@@ -129,28 +130,28 @@
       if (job != nullptr && job->final_state == FinalState::kNone) {
         ApplyDone(job, chunk * job->done_chunk, text);
       } else {
-        MarkDirty(DoneKey(id, chunk), Importance::kBackground);  // left over: delete it
+        EnqueueRecord(DoneKey(id, chunk), Importance::kBackground);  // left over: delete it
       }
     }
   }
   loaded_done_.clear();
-  for (auto& [name, rent] : rents_) {
-    for (auto& [id, held] : rent->machines) {
-      Machine* m = AddMachine(id, rent.get(), now);
-      m->may_hold_tasks = held;
+  for (auto& [name, scale_out] : scale_outs_) {
+    for (auto& [id, held] : scale_out->machines) {
+      Machine* m = AddMachine(id, scale_out.get(), now);
+      m->dispatchable = held;
       // One that may hold tasks was up once. It must be heard of before anything is placed on it.
       if (held) m->stage = MachineStage::kUp;
     }
   }
   for (auto& [key, job] : active_jobs_) {
     if (job->AllDone()) {
-      MarkDirty(JobKey(job->spec.id), Importance::kUser);
+      EnqueueRecord(JobKey(job->spec.id), Importance::kUser);
     } else if (job->done_chunk > ChunkSize()) {
       BeginChunkSplit(job);
     }
   }
-  CheckSettled();
-  dirty_ = true;
+  CheckReconciled();
+  schedule_due_ = true;
 }
 
 // ---------------------------------------------------------------------------------------------
@@ -160,105 +161,107 @@
   return std::string(kDonePrefix) + id + "/" + std::to_string(chunk);
 }
 
-void Cluster::MarkDirty(const std::string& key, Importance importance) {
-  Enqueue(key, {importance, next_dirty_++});
+void Cluster::EnqueueRecord(const std::string& key, Importance importance) {
+  Enqueue(key, {importance, next_queue_position_++});
 }
 
-void Cluster::Enqueue(const std::string& key, Dirty dirty) {
-  const auto [it, added] = dirty_records_.emplace(key, dirty);
+void Cluster::Enqueue(const std::string& key, QueuePosition dirty) {
+  const auto [it, added] = queued_records_.emplace(key, dirty);
   if (!added) {
     // It keeps its place among its like: what changes all the time must not go round the rest.
     dirty.since = std::min(dirty.since, it->second.since);
     dirty.importance = std::min(dirty.importance, it->second.importance);
-    dirty_order_.erase(it->second);
+    record_order_.erase(it->second);
     it->second = dirty;
   }
-  dirty_order_[dirty] = key;
+  record_order_[dirty] = key;
 }
 
-bool Cluster::HasDirty() const { return !dirty_records_.empty(); }
+bool Cluster::HasQueuedRecords() const { return !queued_records_.empty(); }
 
-Importance Cluster::DirtyImportance() const {
-  return dirty_order_.empty() ? Importance::kBackground : dirty_order_.begin()->first.importance;
+Importance Cluster::QueuedImportance() const {
+  return record_order_.empty() ? Importance::kBackground : record_order_.begin()->first.importance;
 }
 
-std::vector<std::string> Cluster::TakeDirty(size_t max) {
+std::vector<std::string> Cluster::DequeueRecords(size_t max) {
   std::vector<std::string> out;
-  while (!dirty_order_.empty() && out.size() < max) {
-    const auto first = dirty_order_.begin();
+  while (!record_order_.empty() && out.size() < max) {
+    const auto first = record_order_.begin();
     out.push_back(first->second);
-    taken_records_[first->second] = first->first;
-    dirty_records_.erase(first->second);
-    dirty_order_.erase(first);
+    in_flight_records_[first->second] = first->first;
+    queued_records_.erase(first->second);
+    record_order_.erase(first);
   }
   return out;
 }
 
 Importance Cluster::ImportanceOf(const std::string& key) const {
-  const auto it = taken_records_.find(key);
-  return it == taken_records_.end() ? Importance::kNormal : it->second.importance;
+  const auto it = in_flight_records_.find(key);
+  return it == in_flight_records_.end() ? Importance::kNormal : it->second.importance;
 }
 
-Json Cluster::RenderJob(const std::string& key, Job* job) {
-  Rendered& rendered = rendered_[key] = {};
+Json Cluster::SerializeJob(const std::string& key, Job* job) {
+  InFlightWrite& in_flight = in_flight_writes_[key] = {};
   if (job->final_state == FinalState::kDone ||
       (job->AllDone() && job->final_state == FinalState::kNone && !job->cancel_wanted)) {
-    rendered.final_state = FinalState::kDone;
+    in_flight.final_state = FinalState::kDone;
     return {{"final", "done"}, {"tasks", job->spec.tasks}};
   }
   Json json{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
   if (job->cancel_wanted) {
-    rendered.final_state = FinalState::kCancelled;
+    in_flight.final_state = FinalState::kCancelled;
     json["final"] = "cancelled";
     if (json.dump().size() > settings_.ValueBytes()) {
       json["spec"] = wire::ToJson(Shortened(job->spec));
     }
     return json;
   }
-  rendered.chunk = job->done_chunk;
-  if (job->chunk_split == ChunkSplit::kCollapsing) rendered.chunk = job->spec.tasks;
-  if (job->chunk_split == ChunkSplit::kSwitching) rendered.chunk = ChunkSize();
-  json["chunk"] = rendered.chunk;
+  in_flight.chunk = job->done_chunk;
+  if (job->chunk_split == ChunkSplit::kCollapsing) in_flight.chunk = job->spec.tasks;
+  if (job->chunk_split == ChunkSplit::kSwitching) in_flight.chunk = ChunkSize();
+  json["chunk"] = in_flight.chunk;
   const size_t size = json.dump().size() + kDoneFieldBytes;
   const size_t room = settings_.ValueBytes() - std::min(size, settings_.ValueBytes());
-  const std::string done = RenderDoneSet(*job, 0, rendered.chunk, room, &rendered.done);
+  const std::string done = SerializeDoneSet(*job, 0, in_flight.chunk, room, &in_flight.done);
   if (!done.empty()) json["done"] = done;
   return json;
 }
 
-Json Cluster::RenderRent(const std::string& key, const RentRecord& rent) {
-  const auto asked_ms = static_cast<int64_t>(std::llround((rent.asked_at + wall_offset_) * 1000));
-  Json json{{"type", rent.type},
-            {"zone", rent.zone},
-            {"spot", rent.spot},
-            {"count", rent.count},
+Json Cluster::SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out) {
+  const auto asked_ms =
+      static_cast<int64_t>(std::llround((scale_out.requested_at + wall_offset_) * 1000));
+  Json json{{"type", scale_out.type},
+            {"zone", scale_out.zone},
+            {"spot", scale_out.spot},
+            {"count", scale_out.count},
             {"asked_ms", asked_ms}};
-  if (rent.adopted) json["adopted"] = true;
-  if (!rent.answered) return json;
+  if (scale_out.adopted) json["adopted"] = true;
+  if (!scale_out.answered) return json;
   Json names = Json::object();
-  std::vector<std::string>& marks = rendered_[key].marks;
-  marks.clear();
-  for (const auto& [id, held] : rent.machines) {
+  std::vector<std::string>& dispatch_marks = in_flight_writes_[key].dispatch_marks;
+  dispatch_marks.clear();
+  for (const auto& [id, held] : scale_out.machines) {
     const auto it = machines_.find(id);
-    const bool mark = held || (it != machines_.end() && it->second->mark_wanted);
-    if (mark) marks.push_back(id);
-    names[id] = mark ? 1 : 0;
+    const bool dispatch_mark =
+        held || (it != machines_.end() && it->second->dispatchable_requested);
+    if (dispatch_mark) dispatch_marks.push_back(id);
+    names[id] = dispatch_mark ? 1 : 0;
   }
   json["machines"] = std::move(names);
   return json;
 }
 
-std::optional<Json> Cluster::Render(const std::string& key) {
+std::optional<Json> Cluster::Serialize(const std::string& key) {
   if (StartsWith(key, kJobPrefix)) {
     Job* job = FindJob(key.substr(kJobPrefix.size()));
     if (job == nullptr) return std::nullopt;  // not reached: jobs are never forgotten while dirty
-    return RenderJob(key, job);
+    return SerializeJob(key, job);
   }
   if (StartsWith(key, kMachinePrefix)) {
-    const auto it = rents_.find(key.substr(kMachinePrefix.size()));
-    if (it == rents_.end()) return std::nullopt;
+    const auto it = scale_outs_.find(key.substr(kMachinePrefix.size()));
+    if (it == scale_outs_.end()) return std::nullopt;
     if (it->second->answered && it->second->machines.empty()) return std::nullopt;
-    return RenderRent(key, *it->second);
+    return SerializeScaleOut(key, *it->second);
   }
   if (StartsWith(key, kTypePrefix)) {
     const auto it = types_.find(key.substr(kTypePrefix.size()));
@@ -271,53 +274,55 @@
     const Job* job = FindJob(rest.substr(0, slash));
     if (job == nullptr || job->final_state != FinalState::kNone) return std::nullopt;
     const auto chunk = static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
-    return RenderChunk(key, *job, chunk);
+    return SerializeChunk(key, *job, chunk);
   }
   return std::nullopt;
 }
 
 void Cluster::OnStored(const std::string& key, double now) {
-  dirty_ = true;
-  taken_records_.erase(key);
-  const Rendered rendered = std::move(rendered_[key]);
-  rendered_.erase(key);
+  schedule_due_ = true;
+  in_flight_records_.erase(key);
+  const InFlightWrite in_flight = std::move(in_flight_writes_[key]);
+  in_flight_writes_.erase(key);
   if (StartsWith(key, kMachinePrefix)) {
-    OnRentStored(key, rendered.marks);
+    OnScaleOutStored(key, in_flight.dispatch_marks);
   } else if (StartsWith(key, kDonePrefix)) {
     const std::string rest = key.substr(kDonePrefix.size());
     const size_t slash = rest.find('/');
     Job* job = FindJob(rest.substr(0, slash));
     if (job == nullptr) return;
-    MarkStored(job, rendered.done);
+    MarkStored(job, in_flight.done);
     OnPartStored(job, static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10)));
   } else if (StartsWith(key, kJobPrefix)) {
     Job* job = FindJob(key.substr(kJobPrefix.size()));
     if (job == nullptr) return;
-    MarkStored(job, rendered.done);
+    MarkStored(job, in_flight.done);
     job->stored = true;
     admission_.OnStored(job->spec.id, now);
-    settled_jobs_.push_back(job->spec.id);
-    if (rendered.final_state == FinalState::kNone) {
-      OnJobRecordStored(job, rendered.chunk);
+    durable_state_changes_.push_back(job->spec.id);
+    if (in_flight.final_state == FinalState::kNone) {
+      OnJobRecordStored(job, in_flight.chunk);
     } else if (job->final_state == FinalState::kNone) {
-      Settle(job, rendered.final_state, now);
+      Finalize(job, in_flight.final_state, now);
     }
   }
 }
 
-void Cluster::OnRentStored(const std::string& key, const std::vector<std::string>& marks) {
+void Cluster::OnScaleOutStored(const std::string& key,
+                               const std::vector<std::string>& dispatch_marks) {
   const std::string name = key.substr(kMachinePrefix.size());
-  const auto it = rents_.find(name);
-  if (it == rents_.end()) return;
-  RentRecord* rent = it->second.get();
-  rent->stored = true;
-  for (const std::string& id : marks) {
+  const auto it = scale_outs_.find(name);
+  if (it == scale_outs_.end()) return;
+  ScaleOutRecord* scale_out = it->second.get();
+  scale_out->stored = true;
+  for (const std::string& id : dispatch_marks) {
     const auto m = machines_.find(id);
     if (m == machines_.end() || m->second->record != name) continue;
-    rent->machines[id] = true;
-    m->second->may_hold_tasks = true;
+    scale_out->machines[id] = true;
+    m->second->dispatchable = true;
   }
-  if (rent->answered && rent->machines.empty() && !dirty_records_.contains(key)) rents_.erase(it);
+  if (scale_out->answered && scale_out->machines.empty() && !queued_records_.contains(key))
+    scale_outs_.erase(it);
 }
 
 void Cluster::MarkStored(Job* job, const std::vector<uint32_t>& done) {
@@ -329,7 +334,7 @@
 }
 
 // The job's end is durable.
-void Cluster::Settle(Job* job, FinalState state, double now) {
+void Cluster::Finalize(Job* job, FinalState state, double now) {
   job->final_state = state;
   if (active_jobs_.erase({job->accepted_ms, job->spec.id}) > 0) admission_.OnEnded(job->spec.team);
   if (state == FinalState::kDone) {
@@ -342,19 +347,21 @@
   FinishJobIfOver(job);
 }
 
-void Cluster::OnNotStored(const std::string& key) {
-  rendered_.erase(key);
+void Cluster::Requeue(const std::string& key) {
+  in_flight_writes_.erase(key);
   // With the importance and the place it had: what could not be written must not push ahead of
   // users.
-  if (const auto it = taken_records_.find(key); it != taken_records_.end()) {
-    const Dirty dirty = it->second;
-    taken_records_.erase(it);
+  if (const auto it = in_flight_records_.find(key); it != in_flight_records_.end()) {
+    const QueuePosition dirty = it->second;
+    in_flight_records_.erase(it);
     Enqueue(key, dirty);
   } else {
-    MarkDirty(key, Importance::kNormal);
+    EnqueueRecord(key, Importance::kNormal);
   }
 }
 
-std::vector<std::string> Cluster::TakeSettledJobs() { return std::exchange(settled_jobs_, {}); }
+std::vector<std::string> Cluster::TakeDurableStateChanges() {
+  return std::exchange(durable_state_changes_, {});
+}
 
 }  // namespace zinclead::core
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -15,20 +15,20 @@
 // Spare room for production services: what arrives while a machine boots, slow boots included, and
 // one more; never more than this share of what runs, so that a start with many jobs at once does
 // not count as a steady stream.
-constexpr double kSpareBoots = 1.2;
-constexpr double kSpareWindowBoots = 3;
-constexpr double kSpareShare = 0.1;
+constexpr double kHeadroomBoots = 1.2;
+constexpr double kHeadroomWindowBoots = 3;
+constexpr double kHeadroomShare = 0.1;
 
 // Services are moved from machines that are emptier than others so that those can go back. While
-// one moves it is down for about kMoveS: it ends with the answer that stops it, the report of that
-// comes after the least time between two, and some machine that suits it reports soon. Of a lease's
-// service time at most kMovesAtOnceShare goes there at once, when a machine is emptied, and of all
-// service time kMoveShare; both where a start may take a lease, and less the sooner services must
-// start.
-constexpr double kMoveS = 2 * wire::kLeastBetweenReportsS;
-constexpr double kMoveShare = 0.0027;
-constexpr double kMovesAtOnceShare = 0.0067;
-constexpr double kEmptyEnough = 0.67;
+// one moves it is down for about kMigrationDowntimeS: it ends with the answer that stops it, the
+// report of that comes after the least time between two, and some machine that suits it reports
+// soon. Of a lease's service time at most kConcurrentMigrationShare goes there at once, when a
+// machine is emptied, and of all service time kMigrationDowntimeShare; both where a start may take
+// a lease, and less the sooner services must start.
+constexpr double kMigrationDowntimeS = 2 * wire::kMinHeartbeatIntervalS;
+constexpr double kMigrationDowntimeShare = 0.0027;
+constexpr double kConcurrentMigrationShare = 0.0067;
+constexpr double kEvacuationUtilization = 0.67;
 
 // Retry intervals for which a job that failed on a machine is not put there again.
 constexpr double kFaultRetries = 12;
@@ -44,41 +44,41 @@
 
 // One pass over the pending jobs: existing machines first, then room that is on its way, then
 // rents.
-class SchedulePass {
+class SchedulingCycle {
  public:
-  SchedulePass(Cluster* cluster, double now) : c_(*cluster), now_(now) {}
+  SchedulingCycle(Cluster* cluster, double now) : cluster_(*cluster), now_(now) {}
 
   void Run() {
-    order_ = Order();
-    c_.reserved_.clear();
-    c_.gang_room_.clear();
-    FindOpen();
-    FindGangsToCome();
+    queue_ = BuildQueue();
+    cluster_.starved_gang_reservations_.clear();
+    cluster_.gang_headroom_.clear();
+    FindCandidates();
+    ForecastGangDemand();
     bool kept = false;
-    for (next_ = 0; next_ < order_.size();) {
-      Job* job = order_[next_++];
+    for (next_ = 0; next_ < queue_.size();) {
+      Job* job = queue_[next_++];
       if (!kept && job->spec.priority > wire::Priority::kHigh) {
         kept = true;
-        KeepGangRoom();
+        ReserveGangHeadroom();
       }
       PlaceJob(job);
     }
-    if (!kept) KeepGangRoom();
-    KeepSpareRoom();
-    RentForGangsToCome();
-    GatherServices();
+    if (!kept) ReserveGangHeadroom();
+    ReserveHeadroom();
+    ScaleOutForForecastGangs();
+    ConsolidateServices();
   }
 
   // Fills one machine, on which room was freed since the last whole pass: of what that pass looked
   // for room for, in the same order.
-  void Fill(Machine* m) {
-    if (m->no_room_until > now_) return;
-    order_ = Order();
-    FindLeast();
-    open_.assign(1, m);
-    for (Job* job : order_) {
-      if (!least_.Fits(FreeOf(*m))) return;
-      if (!job->tried || job->gang) continue;
+  void BackfillMachine(Machine* m) {
+    if (m->full_until > now_) return;
+    queue_ = BuildQueue();
+    FindSmallestRequest();
+    candidates_.assign(1, m);
+    for (Job* job : queue_) {
+      if (!smallest_request_.Fits(AvailableOn(*m))) return;
+      if (!job->considered || job->gang) continue;
       if (job->spec.one_zone && job->zone_counts.empty()) continue;
       one_zone_.reset();
       PlaceOn(job, [](const Machine&) { return true; });
@@ -86,103 +86,105 @@
   }
 
   // Starts services here that wait for the report of a machine which suits them no better.
-  void Draw(Machine* m) {
-    if (m->no_room_until > now_) return;
+  void StealUnsentServices(Machine* m) {
+    if (m->full_until > now_) return;
     std::vector<Attempt*> waiting;
-    for (const auto& [key, a] : c_.unsent_services_) {
-      if (a->machine != m && a->job->need.Fits(FreeOf(*m))) waiting.push_back(a);
+    for (const auto& [key, a] : cluster_.unsent_services_) {
+      if (a->machine != m && a->job->request.Fits(AvailableOn(*m))) waiting.push_back(a);
     }
     for (Attempt* a : waiting) {
       Job* job = a->job;
       Machine* from = a->machine;
-      if (!job->need.Fits(FreeOf(*m)) || !MachineSuits(*job, *m)) continue;
+      if (!job->request.Fits(AvailableOn(*m)) || !MachineSuits(*job, *m)) continue;
       const std::map<std::string, int> leaves{{from->zone, -1}};
       one_zone_.reset();
       if (!ZoneAllowed(*job, m->zone, leaves)) continue;
       const double soon_s = StartWithin(*job) / 2;
-      if (ServiceRank(*job, *m, HoldsServices(*m), soon_s) >
-          ServiceRank(*job, *from, HoldsServices(*from), soon_s)) {
+      if (ServiceRank(*job, *m, RunsServices(*m), soon_s) >
+          ServiceRank(*job, *from, RunsServices(*from), soon_s)) {
         continue;
       }
       // Nothing was sent there: as far as that machine goes nothing has happened.
       const double idle_since = from->idle_since;
-      c_.RemoveAttempt(a, now_);
+      cluster_.RemoveAttempt(a, now_);
       from->idle_since = idle_since;
-      Place(job, m, MakeAttempt(c_.term_, c_.next_attempt_++));
+      PlaceTask(job, m, MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
     }
   }
 
  private:
   // What a search for room depends on. Room only shrinks within a pass: where a job without further
   // restrictions found none, a like one or a more demanding one need not look again.
-  struct Search {
-    Resources need;
+  struct PlacementConstraints {
+    Resources request;
     bool spot = false;
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
     wire::Priority priority = wire::Priority::kProduction;
     bool patient = false;
 
-    bool Covers(const Search& other) const {
-      return need.Fits(other.need) && (spot || !other.spot) && (!types || types == other.types) &&
-             (!zone || zone == other.zone);
+    bool Dominates(const PlacementConstraints& other) const {
+      return request.Fits(other.request) && (spot || !other.spot) &&
+             (!types || types == other.types) && (!zone || zone == other.zone);
     }
   };
-  Search SearchOf(const Job& job) const {
-    return {job.need, job.spec.spot, job.spec.types, job.spec.zone, job.spec.priority, false};
+  PlacementConstraints ConstraintsOf(const Job& job) const {
+    return {job.request, job.spec.spot, job.spec.types, job.spec.zone, job.spec.priority, false};
   }
   // Whether what it finds depends on nothing else of the job.
-  static bool Plain(const Job& job) {
+  static bool HasOnlyStaticConstraints(const Job& job) {
     return !job.spec.one_zone && !job.spec.spread && job.failed_on.empty();
   }
-  static bool Known(const std::vector<Search>& vain, const Search& search) {
-    return std::any_of(vain.begin(), vain.end(),
-                       [&](const Search& known) { return known.Covers(search); });
+  static bool KnownUnschedulable(const std::vector<PlacementConstraints>& unschedulable,
+                                 const PlacementConstraints& search) {
+    return std::any_of(unschedulable.begin(), unschedulable.end(),
+                       [&](const PlacementConstraints& known) { return known.Dominates(search); });
   }
 
   // The least that any task in the order takes.
-  void FindLeast() {
+  void FindSmallestRequest() {
     constexpr double kMost = std::numeric_limits<double>::max();
-    least_ = {kMost, kMost, kMost};
-    for (const Job* job : order_) {
-      least_.cpus = std::min(least_.cpus, job->need.cpus);
-      least_.gpus = std::min(least_.gpus, job->need.gpus);
-      least_.memory_gb = std::min(least_.memory_gb, job->need.memory_gb);
+    smallest_request_ = {kMost, kMost, kMost};
+    for (const Job* job : queue_) {
+      smallest_request_.cpus = std::min(smallest_request_.cpus, job->request.cpus);
+      smallest_request_.gpus = std::min(smallest_request_.gpus, job->request.gpus);
+      smallest_request_.memory_gb = std::min(smallest_request_.memory_gb, job->request.memory_gb);
     }
   }
   // Machines with room for anything at all, in the order of their ids.
-  void FindOpen() {
-    FindLeast();
-    if (order_.empty()) return;
-    for (auto& [id, m] : c_.machines_) {
-      if (c_.MachineUsable(*m) && m->no_room_until <= now_ && least_.Fits(FreeOf(*m))) {
-        open_.push_back(m.get());
+  void FindCandidates() {
+    FindSmallestRequest();
+    if (queue_.empty()) return;
+    for (auto& [id, m] : cluster_.machines_) {
+      if (cluster_.MachineUsable(*m) && m->full_until <= now_ &&
+          smallest_request_.Fits(AvailableOn(*m))) {
+        candidates_.push_back(m.get());
       }
     }
   }
   // Room that is on its way: a booting machine, an unanswered rent request, or what stops on a
   // machine leave behind.
-  struct Upcoming {
+  struct UpcomingCapacity {
     std::string type;
     std::string zone;
     bool spot = false;
     Resources free;
   };
 
-  std::vector<Job*> Order() {
-    FindGuaranteed();
+  std::vector<Job*> BuildQueue() {
+    FindTeamsWithinGuarantee();
     std::vector<Job*> jobs;
-    for (auto& [key, job] : c_.active_jobs_) {
+    for (auto& [key, job] : cluster_.active_jobs_) {
       if (job->pending == 0 || !job->Live() || !job->stored || job->not_before > now_) continue;
-      if (!c_.settled_ && MayBeUnseen(*job)) continue;
+      if (!cluster_.reconciled_ && MayHaveUnreconciledCopies(*job)) continue;
       jobs.push_back(job);
     }
     // Oldest first within a priority. A job past its dispatch deadline has used up its place.
     std::stable_sort(jobs.begin(), jobs.end(), [&](const Job* a, const Job* b) {
-      const bool late_a = now_ - a->accepted_at > c_.tuning_.deadline_s;
-      const bool late_b = now_ - b->accepted_at > c_.tuning_.deadline_s;
-      const bool sure_a = Guaranteed(*a);
-      const bool sure_b = Guaranteed(*b);
+      const bool late_a = now_ - a->accepted_at > cluster_.operator_settings_.deadline_s;
+      const bool late_b = now_ - b->accepted_at > cluster_.operator_settings_.deadline_s;
+      const bool sure_a = WithinGuaranteedQuota(*a);
+      const bool sure_b = WithinGuaranteedQuota(*b);
       if (sure_a != sure_b) return sure_a;
       const int rank_a = Rank(*a);
       const int rank_b = Rank(*b);
@@ -195,77 +197,84 @@
   // Before the takeover is settled: whether tasks of the job, or of its team if that has a limit,
   // may be on a machine that has not acknowledged the term. Nothing is on machines that it may not
   // use.
-  bool MayBeUnseen(const Job& job) {
-    if (Capped(job)) return true;
+  bool MayHaveUnreconciledCopies(const Job& job) {
+    if (HasQuotaLimit(job)) return true;
     if (!job.inherited) return false;
-    if (!unseen_known_) {
-      unseen_known_ = true;
-      for (const auto& [id, m] : c_.machines_) {
-        if (c_.Unseen(*m)) unseen_.emplace(m->type_name, m->zone, m->spot);
+    if (!unreconciled_offers_known_) {
+      unreconciled_offers_known_ = true;
+      for (const auto& [id, m] : cluster_.machines_) {
+        if (cluster_.MayHaveUnreconciledTasks(*m))
+          unreconciled_offers_.emplace(m->type_name, m->zone, m->spot);
       }
     }
-    return std::any_of(unseen_.begin(), unseen_.end(), [&](const auto& offer) {
-      const auto& [type, zone, spot] = offer;
-      return (job.spec.spot || !spot) && TypeAllowed(job, type) &&
-             (!job.spec.zone || *job.spec.zone == zone);
-    });
+    return std::any_of(unreconciled_offers_.begin(), unreconciled_offers_.end(),
+                       [&](const auto& offer) {
+                         const auto& [type, zone, spot] = offer;
+                         return (job.spec.spot || !spot) && TypeAllowed(job, type) &&
+                                (!job.spec.zone || *job.spec.zone == zone);
+                       });
   }
 
   // Strict priority would let a stream of better work keep a job from ever beginning: one of which
   // nothing has started for too long goes ahead of all but production.
-  bool Overdue(const Job& job) const {
-    return !job.begun && job.done == 0 && now_ - job.accepted_at >= c_.tuning_.begin_within_s;
+  bool Starved(const Job& job) const {
+    return !job.started && job.done == 0 &&
+           now_ - job.accepted_at >= cluster_.operator_settings_.starvation_limit_s;
   }
   int Rank(const Job& job) const {
     const int rank = 2 * static_cast<int>(job.spec.priority);
-    return Overdue(job) ? std::min(rank, 1) : rank;
+    return Starved(job) ? std::min(rank, 1) : rank;
   }
 
-  const config::Team* TeamOf(const Job& job) const { return c_.settings_.FindTeam(job.spec.team); }
+  const config::Team* TeamOf(const Job& job) const {
+    return cluster_.settings_.FindTeam(job.spec.team);
+  }
 
   // Teams whose unfinished jobs all fit within what they are guaranteed need not wait for others.
-  void FindGuaranteed() {
+  void FindTeamsWithinGuarantee() {
     std::map<std::string, Resources> asked;
-    for (const config::Team& team : c_.settings_.teams) {
+    for (const config::Team& team : cluster_.settings_.teams) {
       if (team.cpus > 0 || team.gpus > 0) asked[team.name];
     }
     if (asked.empty()) return;
-    for (const auto& [key, job] : c_.active_jobs_) {
+    for (const auto& [key, job] : cluster_.active_jobs_) {
       const auto it = asked.find(job->spec.team);
       if (it == asked.end() || !job->Live()) continue;
       const double left = job->spec.tasks - job->done;
-      it->second.cpus += left * job->need.cpus;
-      it->second.gpus += left * job->need.gpus;
+      it->second.cpus += left * job->request.cpus;
+      it->second.gpus += left * job->request.gpus;
     }
     for (const auto& [name, sum] : asked) {
-      const config::Team* team = c_.settings_.FindTeam(name);
-      if (sum.cpus <= team->cpus && sum.gpus <= team->gpus) guaranteed_.insert(name);
+      const config::Team* team = cluster_.settings_.FindTeam(name);
+      if (sum.cpus <= team->cpus && sum.gpus <= team->gpus) teams_within_guarantee_.insert(name);
     }
   }
-  bool Guaranteed(const Job& job) const { return guaranteed_.contains(job.spec.team); }
+  bool WithinGuaranteedQuota(const Job& job) const {
+    return teams_within_guarantee_.contains(job.spec.team);
+  }
 
   // Work that another team runs beyond its own guarantee may be stopped for a guaranteed job.
-  bool Borrowed(const Job& job, const Job& other) {
-    if (!Guaranteed(job) || job.spec.team == other.spec.team) return false;
+  bool ExceedsGuaranteedQuota(const Job& job, const Job& other) {
+    if (!WithinGuaranteedQuota(job) || job.spec.team == other.spec.team) return false;
     const config::Team* team = TeamOf(other);
-    Resources used = c_.team_usage_[other.spec.team];
-    used -= reclaimed_[other.spec.team];
+    Resources used = cluster_.team_usage_[other.spec.team];
+    used -= reclaimed_quota_[other.spec.team];
     return team == nullptr || used.cpus > team->cpus || used.gpus > team->gpus;
   }
 
-  bool Capped(const Job& job) const {
+  bool HasQuotaLimit(const Job& job) const {
     const config::Team* team = TeamOf(job);
     return team == nullptr || team->cpus_max > 0 || team->gpus_max > 0;
   }
 
   // The team's limit counts everything of the team that may be on a machine.
-  bool WithinLimit(const Job& job, uint32_t tasks = 1) const {
+  bool WithinQuotaLimit(const Job& job, uint32_t tasks = 1) const {
     const config::Team* team = TeamOf(job);
     if (team == nullptr) return false;
     constexpr double kSlack = 1e-6;
-    const Resources& used = c_.team_usage_[job.spec.team];
-    const double cpus = used.cpus + tasks * job.need.cpus;
-    const double gpus = used.gpus + tasks * job.need.gpus;
+    const Resources& used = cluster_.team_usage_[job.spec.team];
+    const double cpus = used.cpus + tasks * job.request.cpus;
+    const double gpus = used.gpus + tasks * job.request.gpus;
     return (team->cpus_max <= 0 || cpus <= team->cpus_max + kSlack) &&
            (team->gpus_max <= 0 || gpus <= team->gpus_max + kSlack);
   }
@@ -292,14 +301,14 @@
       }
     }
     if (job.spec.spread) {
-      if (SpreadRoom(job, zone, planned) < 1) return false;
+      if (SpreadCapacity(job, zone, planned) < 1) return false;
     }
     return true;
   }
 
   // How many more tasks of a spread job the zone may take.
-  static int SpreadRoom(const Job& job, const std::string& zone,
-                        const std::map<std::string, int>& planned) {
+  static int SpreadCapacity(const Job& job, const std::string& zone,
+                            const std::map<std::string, int>& planned) {
     int room = static_cast<int>((job.spec.tasks + 1) / 2);
     if (const auto it = job.zone_counts.find(zone); it != job.zone_counts.end()) {
       room -= it->second;
@@ -309,48 +318,51 @@
   }
 
   bool MachineAllowed(const Job& job, const Machine& m) const {
-    if (!c_.MachineUsable(m) || m.no_room_until > now_) return false;
+    if (!cluster_.MachineUsable(m) || m.full_until > now_) return false;
     return MachineSuits(job, m);
   }
   bool MachineSuits(const Job& job, const Machine& m) const {
     if (m.spot && !job.spec.spot) return false;
     if (!TypeAllowed(job, m.type_name)) return false;
-    if (job.failed_on.size() >= kJobAtFault) return true;
+    if (job.failed_on.size() >= kFaultyJobThreshold) return true;
     // Not for good: it may be the only machine with room that there is.
     const auto failed = job.failed_on.find(m.id);
     return failed == job.failed_on.end() ||
-           now_ - failed->second >= kFaultRetries * c_.tuning_.retry_s;
+           now_ - failed->second >= kFaultRetries * cluster_.operator_settings_.retry_s;
   }
 
   // `for_gangs`: the room that is kept for gangs included.
-  Resources FreeOf(const Machine& m, bool for_gangs) const {
+  Resources AvailableOn(const Machine& m, bool for_gangs) const {
     Resources free = m.capacity;
     free -= m.used;
-    if (!c_.reserved_.empty()) {
-      if (const auto it = c_.reserved_.find(m.id); it != c_.reserved_.end()) free -= it->second;
+    if (!cluster_.starved_gang_reservations_.empty()) {
+      if (const auto it = cluster_.starved_gang_reservations_.find(m.id);
+          it != cluster_.starved_gang_reservations_.end())
+        free -= it->second;
     }
-    if (!c_.gang_room_.empty() && !for_gangs) {
-      if (const auto it = c_.gang_room_.find(m.id); it != c_.gang_room_.end()) free -= it->second;
+    if (!cluster_.gang_headroom_.empty() && !for_gangs) {
+      if (const auto it = cluster_.gang_headroom_.find(m.id); it != cluster_.gang_headroom_.end())
+        free -= it->second;
     }
     return free;
   }
 
-  Resources FreeOf(const Machine& m) const { return FreeOf(m, placing_gang_); }
+  Resources AvailableOn(const Machine& m) const { return AvailableOn(m, placing_gang_); }
 
-  static uint32_t FitCount(const Resources& need, const Resources& room, uint32_t most) {
-    if (!need.Fits(room)) return 0;
+  static uint32_t FitCount(const Resources& request, const Resources& room, uint32_t most) {
+    if (!request.Fits(room)) return 0;
     constexpr double kSlack = 1e-6;
     double count = most;
-    if (need.cpus > 0) count = std::min(count, std::floor((room.cpus + kSlack) / need.cpus));
-    if (need.gpus > 0) count = std::min(count, std::floor((room.gpus + kSlack) / need.gpus));
-    if (need.memory_gb > 0) {
-      count = std::min(count, std::floor((room.memory_gb + kSlack) / need.memory_gb));
+    if (request.cpus > 0) count = std::min(count, std::floor((room.cpus + kSlack) / request.cpus));
+    if (request.gpus > 0) count = std::min(count, std::floor((room.gpus + kSlack) / request.gpus));
+    if (request.memory_gb > 0) {
+      count = std::min(count, std::floor((room.memory_gb + kSlack) / request.memory_gb));
     }
     return static_cast<uint32_t>(count);
   }
 
   void PlaceJob(Job* job) {
-    job->tried = true;
+    job->considered = true;
     one_zone_.reset();
     if (job->spec.one_zone && job->zone_counts.empty()) ChooseZone(*job);
     if (job->gang) {
@@ -359,17 +371,19 @@
       placing_gang_ = false;
       return;
     }
-    const Search search = SearchOf(*job);
-    if (!Known(full_, search)) PlaceWhereFree(job);
-    if (job->pending == 0 || !WithinLimit(*job)) return;
-    if (Plain(*job) && !Known(full_, search)) full_.push_back(search);
+    const PlacementConstraints search = ConstraintsOf(*job);
+    if (!KnownUnschedulable(no_free_capacity_, search)) PlaceWhereFree(job);
+    if (job->pending == 0 || !WithinQuotaLimit(*job)) return;
+    if (HasOnlyStaticConstraints(*job) && !KnownUnschedulable(no_free_capacity_, search))
+      no_free_capacity_.push_back(search);
     uint32_t left = job->pending;
     std::map<std::string, int> planned;
-    if (job->spec.priority <= wire::Priority::kHigh || Pressing(*job) || Guaranteed(*job)) {
+    if (job->spec.priority <= wire::Priority::kHigh || HasDeadline(*job) ||
+        WithinGuaranteedQuota(*job)) {
       left = Preempt(job, left, &planned);
     }
-    left = UseUpcoming(*job, left, &planned);
-    if (left > 0) Rent(*job, left, &planned);
+    left = UseUpcomingCapacity(*job, left, &planned);
+    if (left > 0) ScaleOut(*job, left, &planned);
   }
 
   void PlaceWhereFree(Job* job) {
@@ -393,17 +407,17 @@
   int ServiceRank(const Job& job, const Machine& m, bool beside_services, double soon_s) const {
     const bool has_image = m.images.contains(job.spec.image);
     if (has_image || job.spec.image_gb <= soon_s * m.type->fetch_gb_per_s) {
-      return (Covered(m.zone) ? 0 : 4) + (has_image ? 0 : 2) + (beside_services ? 0 : 1);
+      return (ZoneHasController(m.zone) ? 0 : 4) + (has_image ? 0 : 2) + (beside_services ? 0 : 1);
     }
     return beside_services ? kWorstServiceRank - 1 : kWorstServiceRank;
   }
 
   // Services whose start was sent are on it.
-  static bool HoldsServices(const Machine& m) {
+  static bool RunsServices(const Machine& m) {
     return m.services > 0 &&
            std::any_of(m.attempts.begin(), m.attempts.end(), [](const auto& entry) {
              const Attempt& a = *entry.second;
-             return a.job->spec.kind == wire::JobKind::kService && a.holds_room &&
+             return a.job->spec.kind == wire::JobKind::kService && a.holds_allocation &&
                     (a.start_sent || a.listed);
            });
   }
@@ -411,40 +425,40 @@
   // A gang starts only when all its tasks fit. What is lost of it before it has run is replaced;
   // otherwise it starts anew, once nothing of it is left anywhere.
   void PlaceGang(Job* job) {
-    const bool replaces = c_.MayReplaceLost(*job);
-    if (!replaces && !c_.GangIsClear(job)) {
+    const bool replaces = cluster_.MayReplaceLostTasks(*job);
+    if (!replaces && !cluster_.GangIsClear(job)) {
       // An earlier leader's attempt of which tasks are missing now that all machines were heard.
       if (job->gang->state() != GangState::kWaiting || !job->gang->MayReplace()) {
-        c_.StopGang(job, false, now_);
+        cluster_.StopGang(job, false, now_);
       }
       return;
     }
-    if (!WithinLimit(*job, job->pending)) return;
+    if (!WithinQuotaLimit(*job, job->pending)) return;
     std::vector<Machine*> places;
     std::map<std::string, int> planned;
-    for (Machine* m : open_) {
+    for (Machine* m : candidates_) {
       if (!MachineSuits(*job, *m) || (replaces && Knows(*m, *job))) continue;
-      Resources free = FreeOf(*m);
-      while (places.size() < job->pending && job->need.Fits(free) &&
+      Resources free = AvailableOn(*m);
+      while (places.size() < job->pending && job->request.Fits(free) &&
              ZoneAllowed(*job, m->zone, planned)) {
-        free -= job->need;
+        free -= job->request;
         ++planned[m->zone];
         places.push_back(m);
       }
     }
     if (places.size() == job->pending) {
       // Workers let a gang's tasks go when all of one attempt have come: they share its number.
-      if (!replaces) job->gang->OnPlaced(MakeAttempt(c_.term_, c_.next_attempt_++));
-      for (Machine* m : places) Place(job, m, job->gang->attempt());
+      if (!replaces) job->gang->OnPlaced(MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
+      for (Machine* m : places) PlaceTask(job, m, job->gang->attempt());
       return;
     }
     // A stream of smaller work would fill each room that is freed before all of it is there.
-    if (Overdue(*job)) {
-      for (const Machine* m : places) c_.reserved_[m->id] += job->need;
+    if (Starved(*job)) {
+      for (const Machine* m : places) cluster_.starved_gang_reservations_[m->id] += job->request;
     }
     auto left = job->pending - static_cast<uint32_t>(places.size());
-    left = UseUpcoming(*job, left, &planned);
-    if (left > 0) Rent(*job, left, &planned);
+    left = UseUpcomingCapacity(*job, left, &planned);
+    if (left > 0) ScaleOut(*job, left, &planned);
   }
 
   // A worker that has had a task does not start it again with the same attempt number.
@@ -455,9 +469,9 @@
 
   // A zone with a controller can be led from inside when it is cut off; in one without, all leases
   // end. Services, which should never be down, go to the former as far as there is room.
-  bool Covered(const std::string& zone) const {
-    const auto& peers = c_.settings_.peers;
-    return zone == c_.settings_.zone ||
+  bool ZoneHasController(const std::string& zone) const {
+    const auto& peers = cluster_.settings_.peers;
+    return zone == cluster_.settings_.zone ||
            std::any_of(peers.begin(), peers.end(),
                        [&](const config::Peer& peer) { return peer.zone == zone; });
   }
@@ -465,10 +479,10 @@
   // How soon the job's class should start; without an objective, a report period.
   double StartWithin(const Job& job) const {
     const config::Objective* objective = WaitObjective(job);
-    return objective == nullptr ? c_.settings_.report_s : objective->within_s;
+    return objective == nullptr ? cluster_.settings_.heartbeat_interval_s : objective->within_s;
   }
   const config::Objective* WaitObjective(const Job& job) const {
-    const auto& objectives = c_.settings_.objectives;
+    const auto& objectives = cluster_.settings_.objectives;
     const auto it =
         std::find_if(objectives.begin(), objectives.end(), [&](const config::Objective& o) {
           return o.job_class == job.spec.job_class && o.kind == "wait";
@@ -480,121 +494,124 @@
   void PlaceOn(Job* job, F&& wanted) {
     const std::map<std::string, int> none;
     bool filled = false;
-    for (Machine* m : open_) {
+    for (Machine* m : candidates_) {
       if (job->pending == 0) break;
-      if (!job->need.Fits(FreeOf(*m)) || !MachineSuits(*job, *m) || !wanted(*m)) continue;
-      while (job->pending > 0 && job->need.Fits(FreeOf(*m)) && ZoneAllowed(*job, m->zone, none) &&
-             WithinLimit(*job)) {
-        Place(job, m, MakeAttempt(c_.term_, c_.next_attempt_++));
+      if (!job->request.Fits(AvailableOn(*m)) || !MachineSuits(*job, *m) || !wanted(*m)) continue;
+      while (job->pending > 0 && job->request.Fits(AvailableOn(*m)) &&
+             ZoneAllowed(*job, m->zone, none) && WithinQuotaLimit(*job)) {
+        PlaceTask(job, m, MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
         filled = true;
       }
     }
-    if (filled) std::erase_if(open_, [&](const Machine* m) { return !least_.Fits(FreeOf(*m)); });
+    if (filled)
+      std::erase_if(candidates_,
+                    [&](const Machine* m) { return !smallest_request_.Fits(AvailableOn(*m)); });
   }
 
   double SlowestBoot() const {
     double boot_s = 0;
-    for (const auto& [name, type] : c_.types_) boot_s = std::max(boot_s, type.boot_s);
+    for (const auto& [name, type] : cluster_.types_) boot_s = std::max(boot_s, type.boot_s);
     return boot_s;
   }
 
   // A production service should start at once, and no machine boots that quickly: some room is kept
   // that is free or holds work that may be stopped.
-  void KeepSpareRoom() {
-    c_.spare_surplus_ = 0;
+  void ReserveHeadroom() {
+    cluster_.headroom_surplus_ = 0;
     const Job* latest = nullptr;
     uint32_t running = 0;
     const double boot_s = SlowestBoot();
     double recent = 0;
-    for (const auto& [key, job] : c_.active_jobs_) {
+    for (const auto& [key, job] : cluster_.active_jobs_) {
       if (job->spec.kind != wire::JobKind::kService || !job->Live() ||
           job->spec.priority != wire::Priority::kProduction) {
         continue;
       }
       latest = job;  // active jobs are in the order of their acceptance
       running += job->spec.tasks;
-      if (now_ - job->accepted_at < kSpareWindowBoots * boot_s) recent += job->spec.tasks;
+      if (now_ - job->accepted_at < kHeadroomWindowBoots * boot_s) recent += job->spec.tasks;
     }
     if (latest == nullptr) {
-      c_.spare_surplus_ = std::numeric_limits<int>::max() / 2;  // none is wanted
-      for (auto& [id, m] : c_.machines_) m->spare_fit = 0;
+      cluster_.headroom_surplus_ = std::numeric_limits<int>::max() / 2;  // none is wanted
+      for (auto& [id, m] : cluster_.machines_) m->headroom_slots = 0;
       return;
     }
-    const double arriving = recent / kSpareWindowBoots * kSpareBoots;
+    const double arriving = recent / kHeadroomWindowBoots * kHeadroomBoots;
     const int wanted =
-        1 + static_cast<int>(std::min(arriving, kSpareShare * static_cast<double>(running)));
+        1 + static_cast<int>(std::min(arriving, kHeadroomShare * static_cast<double>(running)));
     wire::JobSpec any = latest->spec;
     any.zone.reset();
     any.one_zone = any.spread = false;
     Job probe;
     probe.spec = any;
-    probe.need = latest->need;
+    probe.request = latest->request;
     int room = 0;
-    for (auto& [id, m] : c_.machines_) {
-      m->spare_fit = 0;
+    for (auto& [id, m] : cluster_.machines_) {
+      m->headroom_slots = 0;
       if (!MachineAllowed(probe, *m)) continue;
       // What is kept for gangs counts as well: production goes before them.
-      Resources free = FreeOf(*m, /*for_gangs=*/true);
+      Resources free = AvailableOn(*m, /*for_gangs=*/true);
       free += LesserArrays(*m, probe.spec.priority);
-      m->spare_fit = static_cast<int>(FitCount(probe.need, free, 1000));
-      room += m->spare_fit;
+      m->headroom_slots = static_cast<int>(FitCount(probe.request, free, 1000));
+      room += m->headroom_slots;
     }
-    c_.spare_surplus_ = room - wanted;
-    if (c_.spare_surplus_ >= 0) return;
+    cluster_.headroom_surplus_ = room - wanted;
+    if (cluster_.headroom_surplus_ >= 0) return;
     std::map<std::string, int> planned;
-    const auto missing = static_cast<uint32_t>(-c_.spare_surplus_);
-    const uint32_t left = UseUpcoming(probe, missing, &planned);
-    if (left > 0) Rent(probe, left, &planned);
+    const auto missing = static_cast<uint32_t>(-cluster_.headroom_surplus_);
+    const uint32_t left = UseUpcomingCapacity(probe, missing, &planned);
+    if (left > 0) ScaleOut(probe, left, &planned);
   }
 
   // Gangs that should start sooner than any machine boots, and how many of their tasks will come in
   // that time. Those whose objectives leave time for a boot need no room kept.
-  void FindGangsToCome() {
-    const double window_s = kSpareWindowBoots * SlowestBoot();
-    for (const auto& [name, recent] : c_.gang_arrivals_.Recent(now_, window_s)) {
+  void ForecastGangDemand() {
+    const double window_s = kHeadroomWindowBoots * SlowestBoot();
+    for (const auto& [name, recent] : cluster_.gang_arrivals_.Recent(now_, window_s)) {
       Job probe;
       probe.spec = recent.latest;
-      probe.need = NeedOf(recent.latest);
+      probe.request = RequestOf(recent.latest);
       double ready_s = std::numeric_limits<double>::max();
-      for (const auto& [type_name, type] : c_.types_) {
-        if (c_.FitsType(probe.spec, type)) ready_s = std::min(ready_s, ReadyTime(probe, type));
+      for (const auto& [type_name, type] : cluster_.types_) {
+        if (cluster_.FitsType(probe.spec, type))
+          ready_s = std::min(ready_s, ReadyTime(probe, type));
       }
-      ready_s *= kSpareBoots;
+      ready_s *= kHeadroomBoots;
       if (WaitObjective(probe) == nullptr || StartWithin(probe) > ready_s) continue;
       const double coming = recent.tasks / window_s * ready_s;
       const auto tasks = std::max(recent.largest, static_cast<uint32_t>(std::ceil(coming)));
-      gangs_to_come_.push_back({std::move(probe), tasks, std::nullopt});
+      gang_forecasts_.push_back({std::move(probe), tasks, std::nullopt});
     }
   }
 
   // Arrays would fill each room that gangs leave behind, and the next gang would have to wait for
   // machines to boot: some room in one zone is left free for it.
-  void KeepGangRoom() {
-    for (GangsToCome& gangs : gangs_to_come_) {
+  void ReserveGangHeadroom() {
+    for (GangForecast& forecast : gang_forecasts_) {
       placing_gang_ = true;
       one_zone_.reset();
-      ChooseZone(gangs.probe, gangs.missing);
+      ChooseZone(forecast.probe, forecast.missing);
       placing_gang_ = false;
       if (!one_zone_) continue;
-      gangs.zone = one_zone_;
-      for (Machine* m : open_) {
-        if (gangs.missing == 0) break;
-        if (m->zone != *one_zone_ || !MachineSuits(gangs.probe, *m)) continue;
-        const uint32_t fit = FitCount(gangs.probe.need, FreeOf(*m), gangs.missing);
-        for (uint32_t i = 0; i < fit; ++i) c_.gang_room_[m->id] += gangs.probe.need;
-        gangs.missing -= fit;
+      forecast.zone = one_zone_;
+      for (Machine* m : candidates_) {
+        if (forecast.missing == 0) break;
+        if (m->zone != *one_zone_ || !MachineSuits(forecast.probe, *m)) continue;
+        const uint32_t fit = FitCount(forecast.probe.request, AvailableOn(*m), forecast.missing);
+        for (uint32_t i = 0; i < fit; ++i) cluster_.gang_headroom_[m->id] += forecast.probe.request;
+        forecast.missing -= fit;
       }
     }
     one_zone_.reset();
   }
 
-  void RentForGangsToCome() {
-    for (const GangsToCome& gangs : gangs_to_come_) {
-      if (gangs.missing == 0) continue;
+  void ScaleOutForForecastGangs() {
+    for (const GangForecast& forecast : gang_forecasts_) {
+      if (forecast.missing == 0) continue;
       std::map<std::string, int> planned;
-      one_zone_ = gangs.zone;
-      const uint32_t left = UseUpcoming(gangs.probe, gangs.missing, &planned);
-      if (left > 0) Rent(gangs.probe, left, &planned);
+      one_zone_ = forecast.zone;
+      const uint32_t left = UseUpcomingCapacity(forecast.probe, forecast.missing, &planned);
+      if (left > 0) ScaleOut(forecast.probe, left, &planned);
     }
     one_zone_.reset();
   }
@@ -602,25 +619,26 @@
   // Machines that arrays and services shared are left with a service or two when load falls, and
   // cost as much as full ones (hljod grown steady from 565 s on: 80 machines for 460 CPUs, later 48
   // for 108).
-  void GatherServices() {
-    if (!c_.settled_ || now_ < c_.move_at_) return;
+  void ConsolidateServices() {
+    if (!cluster_.reconciled_ || now_ < cluster_.next_migration_at_) return;
     double services = 0;
-    double start_within_s = c_.settings_.lease_s;
-    for (const auto& [key, job] : c_.active_jobs_) {
+    double start_within_s = cluster_.settings_.lease_s;
+    for (const auto& [key, job] : cluster_.active_jobs_) {
       if (job->spec.kind != wire::JobKind::kService || !job->Live()) continue;
       if (job->pending > 0 || job->running < job->spec.tasks) return;  // one thing after the other
       services += job->spec.tasks;
       start_within_s = std::min(start_within_s, StartWithin(*job));
     }
     // The sooner services must start, the sooner one that is away is missed.
-    const double patience = start_within_s / c_.settings_.lease_s;
-    const double at_once_s = kMovesAtOnceShare * patience * services * c_.settings_.lease_s;
-    if (at_once_s < kMoveS) return;
+    const double patience = start_within_s / cluster_.settings_.lease_s;
+    const double at_once_s =
+        kConcurrentMigrationShare * patience * services * cluster_.settings_.lease_s;
+    if (at_once_s < kMigrationDowntimeS) return;
     std::vector<Machine*> sources;
-    for (auto& [id, m] : c_.machines_) {
-      if (m->draining && !m->deleting) return;
-      if (Emptyable(*m) && c_.spare_surplus_ >= m->spare_fit + m->services &&
-          m->services * kMoveS <= at_once_s) {
+    for (auto& [id, m] : cluster_.machines_) {
+      if (m->draining && !m->terminating) return;
+      if (CanBeEvacuated(*m) && cluster_.headroom_surplus_ >= m->headroom_slots + m->services &&
+          m->services * kMigrationDowntimeS <= at_once_s) {
         sources.push_back(m.get());
       }
     }
@@ -636,34 +654,36 @@
     for (size_t i = 0; i < tries; ++i) {
       Machine* source = sources[i];
       std::map<std::string, Resources> taken;
-      if (!std::all_of(source->attempts.begin(), source->attempts.end(),
-                       [&](const auto& entry) { return FindPlaceToMove(*entry.second, &taken); })) {
+      if (!std::all_of(source->attempts.begin(), source->attempts.end(), [&](const auto& entry) {
+            return FindMigrationTarget(*entry.second, &taken);
+          })) {
         continue;
       }
-      source->draining = source->retiring = true;
-      for (const auto& [key, a] : source->attempts) c_.StopAttempt(a.get(), 0, now_);
-      c_.move_at_ = now_ + source->services * kMoveS / (kMoveShare * patience * services);
-      c_.retry_at_ = std::min(c_.retry_at_, c_.move_at_);
+      source->draining = source->cordoned = true;
+      for (const auto& [key, a] : source->attempts) cluster_.StopAttempt(a.get(), 0, now_);
+      cluster_.next_migration_at_ = now_ + source->services * kMigrationDowntimeS /
+                                               (kMigrationDowntimeShare * patience * services);
+      cluster_.retry_at_ = std::min(cluster_.retry_at_, cluster_.next_migration_at_);
       return;
     }
   }
 
-  bool Emptyable(const Machine& m) const {
-    if (!c_.MachineUsable(m) || m.services == 0 ||
+  bool CanBeEvacuated(const Machine& m) const {
+    if (!cluster_.MachineUsable(m) || m.services == 0 ||
         static_cast<size_t>(m.services) != m.attempts.size() ||
-        m.used.cpus > kEmptyEnough * m.capacity.cpus) {
+        m.used.cpus > kEvacuationUtilization * m.capacity.cpus) {
       return false;
     }
     return std::all_of(m.attempts.begin(), m.attempts.end(), [&](const auto& entry) {
       const Attempt& a = *entry.second;
       return a.phase == AttemptPhase::kRunning && !a.stop && a.job->spec.checkpoint_s == 0 &&
-             now_ - a.running_since > 2 * c_.settings_.lease_s;
+             now_ - a.running_since > 2 * cluster_.settings_.lease_s;
     });
   }
 
   // A machine beside other services where the task could start at once. What is found is added to
   // `taken`.
-  bool FindPlaceToMove(const Attempt& a, std::map<std::string, Resources>* taken) const {
+  bool FindMigrationTarget(const Attempt& a, std::map<std::string, Resources>* taken) const {
     const Job& job = *a.job;
     if (job.spec.one_zone) return false;
     const std::map<std::string, int> leaves{{a.machine->zone, -1}};
@@ -672,15 +692,15 @@
       return m.used.cpus != a.machine->used.cpus ? m.used.cpus > a.machine->used.cpus
                                                  : m.id < a.machine->id;
     };
-    for (const auto& [id, m] : c_.machines_) {
+    for (const auto& [id, m] : cluster_.machines_) {
       if (m->services == 0 || !fuller(*m) || !m->images.contains(job.spec.image) ||
           !MachineAllowed(job, *m)) {
         continue;
       }
-      Resources free = FreeOf(*m);
+      Resources free = AvailableOn(*m);
       free -= (*taken)[id];
-      if (!job.need.Fits(free) || !ZoneAllowed(job, m->zone, leaves)) continue;
-      (*taken)[id] += job.need;
+      if (!job.request.Fits(free) || !ZoneAllowed(job, m->zone, leaves)) continue;
+      (*taken)[id] += job.request;
       return true;
     }
     return false;
@@ -695,14 +715,14 @@
     return sum;
   }
 
-  void Place(Job* job, Machine* m, uint64_t number) {
+  void PlaceTask(Job* job, Machine* m, uint64_t number) {
     uint32_t index = job->first_pending;
     while (job->tasks[index] != TaskState::kPending) ++index;
     job->first_pending = index + 1;
-    Attempt* a = c_.AddAttempt(m, job, index, number, now_);
-    c_.Activate(a);
+    Attempt* a = cluster_.AddAttempt(m, job, index, number, now_);
+    cluster_.Activate(a);
     if (job->spec.kind == wire::JobKind::kService) {
-      c_.unsent_services_.emplace(Cluster::KeyOf(*a), a);
+      cluster_.unsent_services_.emplace(Cluster::KeyOf(*a), a);
     }
   }
 
@@ -710,9 +730,9 @@
   void ChooseZone(const Job& job) { ChooseZone(job, job.pending); }
   void ChooseZone(const Job& job, uint32_t tasks) {
     std::map<std::string, uint32_t> room;
-    for (const Machine* m : open_) {
+    for (const Machine* m : candidates_) {
       if (!MachineSuits(job, *m)) continue;
-      room[m->zone] += FitCount(job.need, FreeOf(*m), tasks);
+      room[m->zone] += FitCount(job.request, AvailableOn(*m), tasks);
     }
     uint32_t best = 0;
     for (const auto& [zone, count] : room) {
@@ -727,33 +747,36 @@
   uint32_t Preempt(Job* job, uint32_t left, std::map<std::string, int>* planned) {
     // Production does not wait for others to save; the rest only takes what can save.
     const bool urgent = job->spec.priority <= wire::Priority::kHigh;
-    const bool sure = Guaranteed(*job);
-    const Search search = SearchOf(*job);
-    const auto vain = [&](const Search& known) {
-      return known.Covers(search) && known.priority <= job->spec.priority;
+    const bool sure = WithinGuaranteedQuota(*job);
+    const PlacementConstraints search = ConstraintsOf(*job);
+    const auto unschedulable = [&](const PlacementConstraints& known) {
+      return known.Dominates(search) && known.priority <= job->spec.priority;
     };
-    if (!sure && std::any_of(unstoppable_.begin(), unstoppable_.end(), vain)) return left;
-    for (auto& [id, m] : c_.machines_) {
+    if (!sure && std::any_of(unpreemptible_.begin(), unpreemptible_.end(), unschedulable))
+      return left;
+    for (auto& [id, m] : cluster_.machines_) {
       if (left == 0) break;
       if (!sure && m->stopping == 0) {
         // Only arrays of lesser priority can make room here.
         const Resources lesser = LesserArrays(*m, job->spec.priority);
         if (lesser.cpus <= 0 && lesser.gpus <= 0 && lesser.memory_gb <= 0) continue;
-        Resources most = FreeOf(*m);
+        Resources most = AvailableOn(*m);
         most += lesser;
-        if (!job->need.Fits(most)) continue;
+        if (!job->request.Fits(most)) continue;
       }
       if (!MachineAllowed(*job, *m) || !ZoneAllowed(*job, m->zone, *planned)) continue;
-      Resources coming = FreeOf(*m);
-      if (const auto it = claimed_.find(id); it != claimed_.end()) coming -= it->second;
+      Resources coming = AvailableOn(*m);
+      if (const auto it = claimed_capacity_.find(id); it != claimed_capacity_.end())
+        coming -= it->second;
       std::vector<Attempt*> victims;
       for (auto& [key, a] : m->attempts) {
-        if (!a->holds_room) continue;
+        if (!a->holds_allocation) continue;
         if (a->stop) {
-          coming += a->job->need;
-        } else if (Borrowed(*job, *a->job) || (a->job->spec.priority > job->spec.priority &&
-                                               a->job->spec.kind == wire::JobKind::kArray &&
-                                               (urgent || a->job->spec.checkpoint_s > 0))) {
+          coming += a->job->request;
+        } else if (ExceedsGuaranteedQuota(*job, *a->job) ||
+                   (a->job->spec.priority > job->spec.priority &&
+                    a->job->spec.kind == wire::JobKind::kArray &&
+                    (urgent || a->job->spec.checkpoint_s > 0))) {
           victims.push_back(a.get());
         }
       }
@@ -769,84 +792,87 @@
         std::vector<Attempt*> chosen;
         Resources room = coming;
         size_t look = next;
-        while (!job->need.Fits(room) && look < victims.size()) {
+        while (!job->request.Fits(room) && look < victims.size()) {
           Attempt* victim = victims[look++];
           const bool lesser = victim->job->spec.priority > job->spec.priority;
-          if (!lesser && !Borrowed(*job, *victim->job)) continue;  // taken back already
-          if (!lesser) reclaimed_[victim->job->spec.team] += victim->job->need;
-          room += victim->job->need;
+          if (!lesser && !ExceedsGuaranteedQuota(*job, *victim->job))
+            continue;  // taken back already
+          if (!lesser) reclaimed_quota_[victim->job->spec.team] += victim->job->request;
+          room += victim->job->request;
           chosen.push_back(victim);
         }
-        if (!job->need.Fits(room)) break;
-        for (Attempt* a : chosen) Displace(a, urgent);
+        if (!job->request.Fits(room)) break;
+        for (Attempt* a : chosen) PreemptAttempt(a, urgent);
         next = look;
         coming = room;
-        coming -= job->need;
-        claimed_[id] += job->need;
+        coming -= job->request;
+        claimed_capacity_[id] += job->request;
         ++(*planned)[m->zone];
         --left;
       }
     }
-    if (left > 0 && !sure && Plain(*job)) unstoppable_.push_back(search);
+    if (left > 0 && !sure && HasOnlyStaticConstraints(*job)) unpreemptible_.push_back(search);
     return left;
   }
 
   // `urgent`: nobody waits for it to save. A gang is never stopped in part.
-  void Displace(Attempt* a, bool urgent) {
+  void PreemptAttempt(Attempt* a, bool urgent) {
     if (a->job->gang) {
-      c_.StopGang(a->job, !urgent && c_.CanTellAll(*a->job, now_), now_);
+      cluster_.StopGang(a->job, !urgent && cluster_.CanStopAllTasks(*a->job, now_), now_);
     } else {
-      c_.StopAttempt(a, urgent ? 0 : a->job->spec.save_s, now_);
+      cluster_.StopAttempt(a, urgent ? 0 : a->job->spec.save_s, now_);
     }
   }
 
-  void FindUpcoming() {
-    upcoming_known_ = true;
-    for (const auto& [id, m] : c_.machines_) {
-      if (m->retiring || m->type == nullptr || m->from_list) continue;
-      const bool waiting = m->stage == MachineStage::kBooting || !m->may_hold_tasks ||
-                           !m->acknowledged || m->session_gone;
+  void FindUpcomingCapacity() {
+    upcoming_capacity_known_ = true;
+    for (const auto& [id, m] : cluster_.machines_) {
+      if (m->cordoned || m->type == nullptr || m->from_list) continue;
+      const bool waiting = m->stage == MachineStage::kBooting || !m->dispatchable ||
+                           !m->acknowledged || m->epoch_expired;
       if (!waiting) continue;
       if (m->stage == MachineStage::kBooting &&
-          now_ - m->rented_at > c_.tuning_.boot_late * m->type->boot_s) {
+          now_ - m->requested_at > cluster_.operator_settings_.boot_late * m->type->boot_s) {
         continue;
       }
-      if (m->stage == MachineStage::kUp && now_ - m->last_heard > c_.settings_.lease_s / 2) {
+      if (m->stage == MachineStage::kUp &&
+          now_ - m->last_heartbeat_at > cluster_.settings_.lease_s / 2) {
         continue;
       }
-      Upcoming room{m->type_name, m->zone, m->spot, FreeOf(*m)};
-      upcoming_.push_back(std::move(room));
+      UpcomingCapacity room{m->type_name, m->zone, m->spot, AvailableOn(*m)};
+      upcoming_capacity_.push_back(std::move(room));
     }
-    for (const auto& [name, rent] : c_.rents_) {
-      if (rent->answered) continue;
-      const auto type = c_.types_.find(rent->type);
-      if (type == c_.types_.end()) continue;
-      for (int i = 0; i < rent->count; ++i) AddUpcoming(type->second, rent->zone, rent->spot);
+    for (const auto& [name, scale_out] : cluster_.scale_outs_) {
+      if (scale_out->answered) continue;
+      const auto type = cluster_.types_.find(scale_out->type);
+      if (type == cluster_.types_.end()) continue;
+      for (int i = 0; i < scale_out->count; ++i)
+        AddUpcomingCapacity(type->second, scale_out->zone, scale_out->spot);
     }
   }
 
-  void AddUpcoming(const wire::MachineType& type, const std::string& zone, bool spot) {
-    upcoming_.push_back({type.name, zone, spot, {type.cpus, type.gpus, type.memory_gb}});
+  void AddUpcomingCapacity(const wire::MachineType& type, const std::string& zone, bool spot) {
+    upcoming_capacity_.push_back({type.name, zone, spot, {type.cpus, type.gpus, type.memory_gb}});
   }
 
-  uint32_t UseUpcoming(const Job& job, uint32_t left, std::map<std::string, int>* planned) {
-    if (!upcoming_known_) FindUpcoming();
-    const Search search = SearchOf(job);
-    if (Known(none_upcoming_, search)) return left;
-    for (Upcoming& room : upcoming_) {
+  uint32_t UseUpcomingCapacity(const Job& job, uint32_t left, std::map<std::string, int>* planned) {
+    if (!upcoming_capacity_known_) FindUpcomingCapacity();
+    const PlacementConstraints search = ConstraintsOf(job);
+    if (KnownUnschedulable(no_upcoming_capacity_, search)) return left;
+    for (UpcomingCapacity& room : upcoming_capacity_) {
       if (left == 0) break;
       if ((room.spot && !job.spec.spot) || !TypeAllowed(job, room.type)) continue;
-      while (left > 0 && job.need.Fits(room.free) && ZoneAllowed(job, room.zone, *planned)) {
-        room.free -= job.need;
+      while (left > 0 && job.request.Fits(room.free) && ZoneAllowed(job, room.zone, *planned)) {
+        room.free -= job.request;
         ++(*planned)[room.zone];
         --left;
       }
     }
-    if (left > 0 && Plain(job)) none_upcoming_.push_back(search);
+    if (left > 0 && HasOnlyStaticConstraints(job)) no_upcoming_capacity_.push_back(search);
     return left;
   }
 
-  struct Offer {
+  struct MachineOffer {
     const wire::MachineType* type = nullptr;
     std::string zone;
     bool spot = false;
@@ -857,10 +883,10 @@
   };
 
   // An array that is due at some time.
-  bool Pressing(const Job& job) const {
+  bool HasDeadline(const Job& job) const {
     if (job.spec.kind != wire::JobKind::kArray) return false;
     return job.spec.deadline_s ||
-           std::any_of(c_.settings_.objectives.begin(), c_.settings_.objectives.end(),
+           std::any_of(cluster_.settings_.objectives.begin(), cluster_.settings_.objectives.end(),
                        [&](const config::Objective& objective) {
                          return objective.job_class == job.spec.job_class &&
                                 objective.kind == "finished";
@@ -868,21 +894,21 @@
   }
 
   // An array that its objectives leave time for does not rent at the ordinary price yet.
-  bool Patient(const Job& job) const {
+  bool CanWaitForSpot(const Job& job) const {
     if (job.spec.kind != wire::JobKind::kArray || !job.spec.spot ||
         job.spec.priority <= wire::Priority::kHigh) {
       return false;
     }
     double ready_s = std::numeric_limits<double>::max();
-    for (const auto& [name, type] : c_.types_) {
-      if (!c_.FitsType(job.spec, type)) continue;
+    for (const auto& [name, type] : cluster_.types_) {
+      if (!cluster_.FitsType(job.spec, type)) continue;
       ready_s = std::min(ready_s, ReadyTime(job, type));
     }
     const double run_s = kEstimateSlack * job.spec.estimate_s;
     double start_by = std::numeric_limits<double>::max();
     double share = kPatienceShare;
     if (job.spec.deadline_s) start_by = *job.spec.deadline_s - run_s;
-    for (const config::Objective& objective : c_.settings_.objectives) {
+    for (const config::Objective& objective : cluster_.settings_.objectives) {
       if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
       if (objective.kind == "wait") start_by = std::min(start_by, objective.within_s);
       if (objective.kind == "finished") {
@@ -892,7 +918,8 @@
     }
     const double age_s = now_ - job.accepted_at;
     // Nobody says when it should be over: it waits for cheap room until it should have begun.
-    if (start_by == std::numeric_limits<double>::max()) return age_s < c_.tuning_.begin_within_s;
+    if (start_by == std::numeric_limits<double>::max())
+      return age_s < cluster_.operator_settings_.starvation_limit_s;
     return age_s < share * (start_by - ready_s);
   }
 
@@ -900,33 +927,34 @@
     return type.boot_s + (type.fetch_gb_per_s > 0 ? job.spec.image_gb / type.fetch_gb_per_s : 0);
   }
 
-  std::vector<Offer> Offers(const Job& job, uint32_t left, uint32_t behind,
-                            const std::map<std::string, int>& planned) const {
-    std::vector<Offer> offers;
-    const bool patient = Patient(job);
-    for (const auto& [name, type] : c_.types_) {
-      if (!c_.FitsType(job.spec, type)) continue;
+  std::vector<MachineOffer> ListOffers(const Job& job, uint32_t left, uint32_t behind,
+                                       const std::map<std::string, int>& planned) const {
+    std::vector<MachineOffer> offers;
+    const bool patient = CanWaitForSpot(job);
+    for (const auto& [name, type] : cluster_.types_) {
+      if (!cluster_.FitsType(job.spec, type)) continue;
       for (const std::string& zone : type.zones) {
         if (!ZoneAllowed(job, zone, planned)) continue;
         uint32_t tasks = left;
         if (job.spec.spread) {
-          tasks =
-              std::min(tasks, static_cast<uint32_t>(std::max(0, SpreadRoom(job, zone, planned))));
+          tasks = std::min(tasks,
+                           static_cast<uint32_t>(std::max(0, SpreadCapacity(job, zone, planned))));
         }
         if (tasks == 0) continue;
         for (const bool spot : {true, false}) {
           if (spot && !job.spec.spot) continue;
           if (!spot && patient) continue;
-          if (Refused(name, zone, spot)) continue;
-          Offer offer{&type, zone, spot};
+          if (InCapacityBackoff(name, zone, spot)) continue;
+          MachineOffer offer{&type, zone, spot};
           offer.tasks = tasks;
-          offer.fit = FitCount(job.need, {type.cpus, type.gpus, type.memory_gb},
+          offer.fit = FitCount(job.request, {type.cpus, type.gpus, type.memory_gb},
                                std::min(tasks + behind, 1000U));
           offer.ready_s = ReadyTime(job, type);
           // Services stay; their machines pay off over an idle machine's life at the least.
-          const double stay = job.spec.kind == wire::JobKind::kService
-                                  ? 10 * c_.tuning_.idle_s
-                                  : std::max(job.spec.estimate_s, c_.tuning_.idle_s / 2);
+          const double stay =
+              job.spec.kind == wire::JobKind::kService
+                  ? 10 * cluster_.operator_settings_.idle_s
+                  : std::max(job.spec.estimate_s, cluster_.operator_settings_.idle_s / 2);
           offer.cost = (spot ? type.spot_price : type.price) * (offer.ready_s + stay) /
                        std::max(1U, offer.fit);
           offers.push_back(std::move(offer));
@@ -936,27 +964,27 @@
     return offers;
   }
 
-  bool Refused(const std::string& type, const std::string& zone, bool spot) const {
-    const auto it = c_.refusals_.find(OfferKey(type, zone, spot));
-    return it != c_.refusals_.end() && it->second.until > now_;
+  bool InCapacityBackoff(const std::string& type, const std::string& zone, bool spot) const {
+    const auto it = cluster_.capacity_backoffs_.find(OfferKey(type, zone, spot));
+    return it != cluster_.capacity_backoffs_.end() && it->second.until > now_;
   }
 
-  size_t MachinesIn(const std::string& zone) const {
-    const auto it = c_.machines_in_zone_.find(zone);
-    return it == c_.machines_in_zone_.end() ? 0 : it->second;
+  size_t MachinesInZone(const std::string& zone) const {
+    const auto it = cluster_.machines_in_zone_.find(zone);
+    return it == cluster_.machines_in_zone_.end() ? 0 : it->second;
   }
 
   // The cheapest offer. Work that somebody waits for takes the quickest that costs little more.
-  const Offer* Choose(const Job& job, const std::vector<Offer>& offers) const {
+  const MachineOffer* ChooseOffer(const Job& job, const std::vector<MachineOffer>& offers) const {
     double least = std::numeric_limits<double>::max();
-    for (const Offer& offer : offers) least = std::min(least, offer.cost);
-    const Offer* best = nullptr;
+    for (const MachineOffer& offer : offers) least = std::min(least, offer.cost);
+    const MachineOffer* best = nullptr;
     size_t best_zone = 0;
     const bool hurry = job.spec.priority <= wire::Priority::kHigh || job.spec.deadline_s;
     const double left_s = job.spec.deadline_s ? job.accepted_at + *job.spec.deadline_s - now_ : 0;
-    for (const Offer& offer : offers) {
-      const size_t zone = MachinesIn(offer.zone);
-      const auto rank = [&](const Offer& o) {
+    for (const MachineOffer& offer : offers) {
+      const size_t zone = MachinesInZone(offer.zone);
+      const auto rank = [&](const MachineOffer& o) {
         if (!hurry) return 0.0;
         // A spot or cheap machine that is in time for the deadline is as good as a quick one.
         if (job.spec.deadline_s && o.ready_s + 1.3 * job.spec.estimate_s <= left_s) return 0.0;
@@ -969,16 +997,16 @@
       }
       const double a = rank(offer);
       const double b = rank(*best);
-      constexpr double kWorthIt = 2.0;
-      const bool safer =
-          job.spec.kind == wire::JobKind::kService && Covered(offer.zone) != Covered(best->zone);
+      constexpr double kAcceptableCostRatio = 2.0;
+      const bool safer = job.spec.kind == wire::JobKind::kService &&
+                         ZoneHasController(offer.zone) != ZoneHasController(best->zone);
       bool better = false;
       if (safer) {
-        better = Covered(offer.zone) ? offer.cost <= kWorthIt * best->cost
-                                     : best->cost > kWorthIt * offer.cost;
+        better = ZoneHasController(offer.zone) ? offer.cost <= kAcceptableCostRatio * best->cost
+                                               : best->cost > kAcceptableCostRatio * offer.cost;
       } else if (a != b) {
-        const bool dear_a = offer.cost > kWorthIt * least;
-        const bool dear_b = best->cost > kWorthIt * least;
+        const bool dear_a = offer.cost > kAcceptableCostRatio * least;
+        const bool dear_b = best->cost > kAcceptableCostRatio * least;
         better = dear_a != dear_b ? dear_b : a < b;
       } else if (offer.cost != best->cost) {
         better = offer.cost < best->cost;
@@ -998,127 +1026,137 @@
   uint32_t SimilarBehind(const Job& job) const {
     uint32_t tasks = 0;
     if (job.spec.one_zone) return 0;
-    const bool patient = Patient(job);
-    for (size_t i = next_; i < order_.size(); ++i) {
-      const Job& other = *order_[i];
+    const bool patient = CanWaitForSpot(job);
+    for (size_t i = next_; i < queue_.size(); ++i) {
+      const Job& other = *queue_[i];
       if (other.spec.kind == job.spec.kind && other.spec.priority == job.spec.priority &&
           other.spec.cpus == job.spec.cpus && other.spec.gpus == job.spec.gpus &&
           other.spec.memory_gb == job.spec.memory_gb && other.spec.spot == job.spec.spot &&
           other.spec.types == job.spec.types && other.spec.zone == job.spec.zone &&
-          !other.spec.one_zone && Patient(other) == patient) {
+          !other.spec.one_zone && CanWaitForSpot(other) == patient) {
         tasks += other.pending;
       }
     }
     return tasks;
   }
 
-  void Rent(const Job& job, uint32_t left, std::map<std::string, int>* planned) {
-    if (rented_out_) return;
-    Search search = SearchOf(job);
-    search.patient = Patient(job);
-    const auto vain = [&](const Search& known) {
-      return known.Covers(search) && known.patient == search.patient;
+  void ScaleOut(const Job& job, uint32_t left, std::map<std::string, int>* planned) {
+    if (scale_out_rate_exhausted_) return;
+    PlacementConstraints search = ConstraintsOf(job);
+    search.patient = CanWaitForSpot(job);
+    const auto unschedulable = [&](const PlacementConstraints& known) {
+      return known.Dominates(search) && known.patient == search.patient;
     };
-    if (std::any_of(no_offer_.begin(), no_offer_.end(), vain)) return;
+    if (std::any_of(no_machine_offer_.begin(), no_machine_offer_.end(), unschedulable)) return;
     std::optional<uint32_t> similar;
     while (left > 0) {
       if (!similar) similar = SimilarBehind(job);
       const uint32_t behind = *similar;
-      const std::vector<Offer> offers = Offers(job, left, behind, *planned);
-      const Offer* offer = Choose(job, offers);
+      const std::vector<MachineOffer> offers = ListOffers(job, left, behind, *planned);
+      const MachineOffer* offer = ChooseOffer(job, offers);
       if (offer == nullptr || offer->fit == 0) {
-        if (Plain(job)) no_offer_.push_back(search);
+        if (HasOnlyStaticConstraints(job)) no_machine_offer_.push_back(search);
         return;
       }
-      if (!c_.rent_tokens_.Take(now_, 1, Importance::kNormal)) {
-        const double wait = c_.rent_tokens_.Wait(now_, 1, Importance::kNormal);
-        c_.retry_at_ = std::min(c_.retry_at_, now_ + wait);
-        rented_out_ = true;
+      if (!cluster_.scale_out_rate_limiter_.Take(now_, 1, Importance::kNormal)) {
+        const double wait = cluster_.scale_out_rate_limiter_.Wait(now_, 1, Importance::kNormal);
+        cluster_.retry_at_ = std::min(cluster_.retry_at_, now_ + wait);
+        scale_out_rate_exhausted_ = true;
         return;
       }
       const uint32_t tasks = std::min(left, offer->tasks) + behind;
       const int count = static_cast<int>(
-          std::min<uint32_t>((tasks + offer->fit - 1) / offer->fit, wire::kMaxRentCount));
-      auto rent = std::make_unique<RentRecord>();
-      rent->name = "r" + std::to_string(c_.term_) + "-" + std::to_string(c_.next_rent_++);
-      rent->type = offer->type->name;
-      rent->zone = offer->zone;
-      rent->spot = offer->spot;
-      rent->count = count;
-      rent->asked_at = now_;
+          std::min<uint32_t>((tasks + offer->fit - 1) / offer->fit, wire::kMaxScaleOutCount));
+      auto scale_out = std::make_unique<ScaleOutRecord>();
+      scale_out->name =
+          "r" + std::to_string(cluster_.term_) + "-" + std::to_string(cluster_.next_scale_out_++);
+      scale_out->type = offer->type->name;
+      scale_out->zone = offer->zone;
+      scale_out->spot = offer->spot;
+      scale_out->count = count;
+      scale_out->requested_at = now_;
       // Named durably before the request: whoever leads next can ask for its machines again.
-      c_.MarkDirty(
-          std::string(kMachinePrefix) + rent->name,
+      cluster_.EnqueueRecord(
+          std::string(kMachinePrefix) + scale_out->name,
           job.spec.priority <= wire::Priority::kHigh ? Importance::kUser : Importance::kNormal);
-      for (int i = 0; i < count; ++i) AddUpcoming(*offer->type, offer->zone, offer->spot);
-      c_.rents_[rent->name] = std::move(rent);
-      none_upcoming_.clear();
-      left = UseUpcoming(job, left, planned);
+      for (int i = 0; i < count; ++i) AddUpcomingCapacity(*offer->type, offer->zone, offer->spot);
+      cluster_.scale_outs_[scale_out->name] = std::move(scale_out);
+      no_upcoming_capacity_.clear();
+      left = UseUpcomingCapacity(job, left, planned);
     }
   }
 
-  Cluster& c_;
+  Cluster& cluster_;
   const double now_;
-  std::set<std::string> guaranteed_;            // teams
-  std::map<std::string, Resources> reclaimed_;  // by team, what this pass stops of it
-  std::vector<Job*> order_;
-  size_t next_ = 0;  // in order_, behind the job that is being placed
-  Resources least_;
-  std::vector<Machine*> open_;
+  std::set<std::string> teams_within_guarantee_;      // teams
+  std::map<std::string, Resources> reclaimed_quota_;  // by team, what this pass stops of it
+  std::vector<Job*> queue_;
+  size_t next_ = 0;  // in queue_, behind the job that is being placed
+  Resources smallest_request_;
+  std::vector<Machine*> candidates_;
   // Searches of this pass that were in vain: for free room, for room to be made, for room on its
   // way, for something to rent.
-  std::vector<Search> full_;
-  std::vector<Search> unstoppable_;
-  std::vector<Search> none_upcoming_;
-  std::vector<Search> no_offer_;
-  bool rented_out_ = false;  // no token for another rent request
+  std::vector<PlacementConstraints> no_free_capacity_;
+  std::vector<PlacementConstraints> unpreemptible_;
+  std::vector<PlacementConstraints> no_upcoming_capacity_;
+  std::vector<PlacementConstraints> no_machine_offer_;
+  bool scale_out_rate_exhausted_ = false;  // no token for another rent request
   // Type, zone and kind of the machines that have not acknowledged the term.
-  std::set<std::tuple<std::string, std::string, bool>> unseen_;
-  bool unseen_known_ = false;
+  std::set<std::tuple<std::string, std::string, bool>> unreconciled_offers_;
+  bool unreconciled_offers_known_ = false;
   std::optional<std::string> one_zone_;
   bool placing_gang_ = false;  // it may use the room that is kept for gangs
-  struct GangsToCome {
+  struct GangForecast {
     Job probe;
     uint32_t missing = 0;  // tasks that no room is kept for
     std::optional<std::string> zone;
   };
-  std::vector<GangsToCome> gangs_to_come_;
-  std::map<std::string, Resources> claimed_;
-  std::vector<Upcoming> upcoming_;
-  bool upcoming_known_ = false;
+  std::vector<GangForecast> gang_forecasts_;
+  std::map<std::string, Resources> claimed_capacity_;
+  std::vector<UpcomingCapacity> upcoming_capacity_;
+  bool upcoming_capacity_known_ = false;
 };
 
-void Cluster::PlaceAndRent(double now) {
-  dirty_ = false;
-  retry_at_ = now + tuning_.retry_s +
-              std::uniform_real_distribution<double>(0, tuning_.retry_jitter_s)(random_);
-  pass_pacer_.Run(now, [&] { SchedulePass(this, now).Run(); });
+void Cluster::RunSchedulingCycle(double now) {
+  schedule_due_ = false;
+  retry_at_ = now + operator_settings_.retry_s +
+              std::uniform_real_distribution<double>(0, operator_settings_.retry_jitter_s)(random_);
+  cycle_rate_limiter_.Run(now, [&] { SchedulingCycle(this, now).Run(); });
 }
 
-void Cluster::FillMachine(Machine* m, double now) { SchedulePass(this, now).Fill(m); }
+void Cluster::BackfillMachine(Machine* m, double now) {
+  SchedulingCycle(this, now).BackfillMachine(m);
+}
 
-void Cluster::DrawServices(Machine* m, double now) { SchedulePass(this, now).Draw(m); }
+void Cluster::StealUnsentServices(Machine* m, double now) {
+  SchedulingCycle(this, now).StealUnsentServices(m);
+}
 
-bool Cluster::NeededAsSpareRoom(const Machine& m) const {
-  return m.spare_fit > 0 && m.spare_fit > spare_surplus_;
+bool Cluster::NeededAsHeadroom(const Machine& m) const {
+  return m.headroom_slots > 0 && m.headroom_slots > headroom_surplus_;
 }
 
-void Cluster::SendRents(double now, Effects* effects) {
-  for (auto& [name, rent] : rents_) {
-    if (!rent->stored || rent->answered || rent->sending || rent->retry_at > now) continue;
-    rent->sending = true;
-    effects->rent.push_back({rent->name, rent->type, rent->zone, rent->spot, rent->count});
+void Cluster::IssueScaleOut(double now, CloudActions* cloud_actions) {
+  for (auto& [name, scale_out] : scale_outs_) {
+    if (!scale_out->stored || scale_out->answered || scale_out->sending ||
+        scale_out->retry_at > now)
+      continue;
+    scale_out->sending = true;
+    cloud_actions->scale_out.push_back(
+        {scale_out->name, scale_out->type, scale_out->zone, scale_out->spot, scale_out->count});
   }
 }
 
-Effects Cluster::Schedule(double now, bool lapsed) {
-  Effects effects;
-  CheckMachines(now, lapsed, &effects);
-  CheckSettled();
-  if (now >= pass_pacer_.next_at() && (dirty_ || now >= retry_at_)) PlaceAndRent(now);
-  SendRents(now, &effects);
-  next_wake_ = std::min(now + settings_.report_s / 2, std::max(retry_at_, pass_pacer_.next_at()));
-  return effects;
+CloudActions Cluster::Schedule(double now, bool lease_expired) {
+  CloudActions cloud_actions;
+  CheckMachines(now, lease_expired, &cloud_actions);
+  CheckReconciled();
+  if (now >= cycle_rate_limiter_.next_at() && (schedule_due_ || now >= retry_at_))
+    RunSchedulingCycle(now);
+  IssueScaleOut(now, &cloud_actions);
+  next_wake_ = std::min(now + settings_.heartbeat_interval_s / 2,
+                        std::max(retry_at_, cycle_rate_limiter_.next_at()));
+  return cloud_actions;
 }
 
 }  // namespace zinclead::core
--- a/src/core/token_bucket.cc
+++ b/src/core/token_bucket.cc
@@ -25,15 +25,15 @@
   level_ = Level(now);
   at_ = std::max(at_, now);
   // An amount that could never fit is let through when the bucket is as full as it gets.
-  const double need = std::min(amount + Reserve(importance), burst_);
-  if (level_ + kSlack < need) return false;
+  const double request = std::min(amount + Reserve(importance), burst_);
+  if (level_ + kSlack < request) return false;
   level_ -= amount;
   return true;
 }
 
 double TokenBucket::Wait(double now, double amount, Importance importance) const {
-  const double need = std::min(amount + Reserve(importance), burst_);
-  const double missing = need - Level(now);
+  const double request = std::min(amount + Reserve(importance), burst_);
+  const double missing = request - Level(now);
   return missing <= kSlack ? 0 : missing / rate_;
 }
 
--- a/src/election/elector.h
+++ b/src/election/elector.h
@@ -22,7 +22,7 @@
 // Clock and timers; tests pass their own.
 class Timers {
  public:
-  enum Slot { kLook, kRenew };
+  enum Slot { kPoll, kRenew };
   virtual ~Timers() = default;
   virtual double Now() = 0;
   // One timer a slot: the later call replaces the earlier one.
@@ -47,11 +47,11 @@
 class Elector {
  public:
   struct Hooks {
-    std::function<void(uint64_t term, wire::StoreCondition fence)> on_elected;
-    std::function<void()> on_lost;
+    std::function<void(uint64_t term, wire::VersionPrecondition fence)> on_elected;
+    std::function<void()> on_leadership_lost;
   };
   Elector(Timers* timers, state::LeaseStore* store, const config::Settings& settings,
-          const config::OperatorSettings& tuning, Hooks hooks);
+          const config::OperatorSettings& operator_settings, Hooks hooks);
 
   void Start();
 
@@ -65,7 +65,7 @@
 
   double lease_s() const { return lease_s_; }
   // When the state service last answered, while not leading.
-  double store_seen_at() const { return store_seen_at_; }
+  double store_contact_at() const { return store_contact_at_; }
 
   // The newest leader known, from the store or from a peer. Empty: none.
   const std::string& leader() const { return leader_; }
@@ -74,26 +74,26 @@
   // Someone has shown a term: a newer leader exists if it is higher than ours.
   void OnTermSeen(uint64_t term);
   // A peer says that it leads.
-  void OnLeaderNotice(const std::string& node, uint64_t term);
+  void OnLeaderAnnouncement(const std::string& node, uint64_t term);
   // A commit was fenced off.
   void OnFenced();
 
  private:
-  void Look();
-  void LookLater(double delay_s);
+  void PollLeader();
+  void SchedulePoll(double delay_s);
   void Watch(uint64_t after);
   void Campaign();
-  void Elect(uint64_t term, uint64_t term_version, uint64_t lease, double asked_at);
+  void Elect(uint64_t term, uint64_t term_version, uint64_t lease, double requested_at);
   void Renew();
-  void Lose(const char* why);
-  void Learn(const std::string& node, uint64_t term);
+  void StepDown(const char* why);
+  void ObserveLeader(const std::string& node, uint64_t term);
 
   Timers* timers_;
   state::LeaseStore* store_;
   const std::string node_;
   const double lease_s_;
   Hooks hooks_;
-  double store_seen_at_ = 0;
+  double store_contact_at_ = 0;
   bool leading_ = false;
   int renewals_under_way_ = 0;
   uint64_t lease_ = 0;
