--- a/src/rehearsal/controller_processes.cc
+++ b/src/fault_injection/controller_processes.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/controller_processes.h"
+#include "fault_injection/controller_processes.h"
 
 #include <signal.h>
 #include <sys/prctl.h>
@@ -15,7 +15,7 @@
 
 #include "net/http_server.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 namespace {
 
 std::vector<uint16_t> FreePorts(net::EventLoop* loop, size_t count) {
@@ -112,12 +112,12 @@
 void ControllerProcesses::WriteSettings(size_t index, Peers peers) const {
   std::ofstream file(SettingsPath(index));
   file << "node = \"" << NameOf(index) << "\"\nzone = \"a\"\nlisten = \""
-       << OnLoopback(listen_port(index)) << "\"\nback = \"" << OnLoopback(BackPort(index))
+       << OnLoopback(listen_port(index)) << "\"\nback = \"" << OnLoopback(PeerPort(index))
        << "\"\n";
   for (size_t other = 0; other < options_.count; ++other) {
     if (other == index) continue;
     file << "[[others]]\nnode = \"" << NameOf(other) << "\"\nzone = \"a\"\naddress = \""
-         << OnLoopback(peers == Peers::kAll ? BackPort(other) : 1) << "\"\n";
+         << OnLoopback(peers == Peers::kAll ? PeerPort(other) : 1) << "\"\n";
   }
   file << "[endpoints]\ncloud = \"" << OnLoopback(cloud_port_) << "\"\nstate = \""
        << OnLoopback(state_port_) << "\"\n[settings]\ncount = " << options_.count
@@ -125,7 +125,7 @@
   for (const std::string& team : options_.teams) {
     file << "[[settings.teams]]\nname = \"" << team << "\"\n";
   }
-  file << "[settings.workers]\nreport_s = " << options_.report_s
+  file << "[settings.workers]\nreport_s = " << options_.heartbeat_interval_s
        << "\nlease_s = " << options_.lease_s << "\ncancel_s = " << options_.cancel_s
        << "\n[settings.state]\nrps = " << options_.state_rps
        << "\nwrite_rps = " << options_.write_rps << "\nvalue_kb = 8.0\ntxn_ops = 8\n"
@@ -134,4 +134,4 @@
        << "\nmem_mb = " << options_.mem_mb << "\nsockets = " << options_.sockets << "\n";
 }
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
--- a/src/rehearsal/controller_processes.h
+++ b/src/fault_injection/controller_processes.h
@@ -1,7 +1,7 @@
 // Real controllers on loopback, with settings files written for them. All of them end with this
 // object, and with the process that started them.
-#ifndef ZINCLEAD_REHEARSAL_CONTROLLER_PROCESSES_H_
-#define ZINCLEAD_REHEARSAL_CONTROLLER_PROCESSES_H_
+#ifndef ZINCLEAD_FAULT_INJECTION_CONTROLLER_PROCESSES_H_
+#define ZINCLEAD_FAULT_INJECTION_CONTROLLER_PROCESSES_H_
 
 #include <sys/types.h>
 
@@ -12,7 +12,7 @@
 
 #include "net/event_loop.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 
 // What the platform's settings say; see DEPLOY for the fields.
 struct ControllerOptions {
@@ -20,7 +20,7 @@
   std::string operator_config;  // empty: none
   size_t count = 3;
   std::vector<std::string> teams = {"open"};
-  double report_s = 0.5;
+  double heartbeat_interval_s = 0.5;
   double lease_s = 5;
   double cancel_s = 12.5;
   double state_rps = 500;
@@ -59,7 +59,7 @@
   std::map<std::string, uint16_t> Nodes() const;
 
  private:
-  uint16_t BackPort(size_t index) const { return ports_[options_.count + index]; }
+  uint16_t PeerPort(size_t index) const { return ports_[options_.count + index]; }
   void WriteSettings(size_t index, Peers peers) const;
 
   const ControllerOptions options_;
@@ -69,6 +69,6 @@
   uint16_t state_port_ = 0;
 };
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
 
-#endif  // ZINCLEAD_REHEARSAL_CONTROLLER_PROCESSES_H_
+#endif  // ZINCLEAD_FAULT_INJECTION_CONTROLLER_PROCESSES_H_
--- a/src/rehearsal/stand_ins.h
+++ b/src/fault_injection/fakes.h
@@ -1,7 +1,7 @@
-// Stand-ins for state service, cloud and workers, written from PROTOCOL, for rehearsals and tests
+// Fakes of state service, cloud and workers, written from PROTOCOL, for scenarios and tests
 // on loopback.
-#ifndef ZINCLEAD_REHEARSAL_STAND_INS_H_
-#define ZINCLEAD_REHEARSAL_STAND_INS_H_
+#ifndef ZINCLEAD_FAULT_INJECTION_FAKES_H_
+#define ZINCLEAD_FAULT_INJECTION_FAKES_H_
 
 #include <algorithm>
 #include <functional>
@@ -16,11 +16,11 @@
 #include "net/http_server.h"
 #include "wire/wire.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 
 using wire::Json;
 
-inline constexpr net::HttpServer::Limits kStandInLimits{1 << 20, 1000, 128, 60};
+inline constexpr net::HttpServer::Limits kFakeServerLimits{1 << 20, 1000, 128, 60};
 
 inline std::map<std::string, std::string> ParseQuery(const std::string& query) {
   std::map<std::string, std::string> out;
@@ -48,11 +48,11 @@
 }
 
 // Keys, transactions, leases and watches.
-class StandInStore {
+class FakeStore {
  public:
-  explicit StandInStore(net::EventLoop* loop)
+  explicit FakeStore(net::EventLoop* loop)
       : loop_(loop),
-        server_(loop, "127.0.0.1", 0, kStandInLimits,
+        server_(loop, "127.0.0.1", 0, kFakeServerLimits,
                 [this](const net::ServerRequest& r, const net::ResponderPtr& p) { On(r, p); }) {}
   uint16_t port() const { return server_.port(); }
   struct Entry {
@@ -63,8 +63,8 @@
   std::map<std::string, Entry>& entries() { return entries_; }
   // Called for each transaction; the result says what happens to it.
   // kLost: neither executed nor answered; the test may execute it later.
-  enum class Fate { kNormal, kExecutedUnanswered, kLost, kMalformed, kRefused, kTooMany };
-  std::function<Fate(const Json&)> fate;
+  enum class InjectedFault { kNormal, kExecutedUnanswered, kLost, kMalformed, kRefused, kTooMany };
+  std::function<InjectedFault(const Json&)> inject_fault;
   uint64_t transactions = 0;
 
   std::pair<int, Json> Execute(const Json& txn) {
@@ -100,16 +100,16 @@
     const auto query = ParseQuery(r.query);
     if (r.path == "/commit") {
       const Json txn = Json::parse(r.body);
-      const Fate what = fate ? fate(txn) : Fate::kNormal;
-      if (what == Fate::kRefused) return send(503, {{"error", "trouble"}});
-      if (what == Fate::kTooMany) return send(429, {{"error", "too many requests"}});
-      if (what == Fate::kMalformed) return send(400, {{"error", "too large"}});
-      if (what == Fate::kLost) {
+      const InjectedFault what = inject_fault ? inject_fault(txn) : InjectedFault::kNormal;
+      if (what == InjectedFault::kRefused) return send(503, {{"error", "trouble"}});
+      if (what == InjectedFault::kTooMany) return send(429, {{"error", "too many requests"}});
+      if (what == InjectedFault::kMalformed) return send(400, {{"error", "too large"}});
+      if (what == InjectedFault::kLost) {
         unanswered_.push_back(p);
         return;
       }
       const auto [status, body] = Execute(txn);
-      if (what == Fate::kExecutedUnanswered) {
+      if (what == InjectedFault::kExecutedUnanswered) {
         unanswered_.push_back(p);  // never answered: the client's time-out must deal with it
         return;
       }
@@ -199,62 +199,66 @@
 };
 
 // A worker: reports, follows 421, keeps its tokens, runs tasks for `run_s`.
-class StandInWorker {
+class FakeWorker {
  public:
   struct Task {
     wire::TaskPhase phase = wire::TaskPhase::kRunning;
     wire::EndCause cause = wire::EndCause::kNone;
     double ends_at = 0;
   };
-  StandInWorker(net::EventLoop* loop, wire::Report identity,
-                const std::map<std::string, uint16_t>& nodes, double report_s, double run_s)
-      : loop_(loop), identity_(std::move(identity)), report_s_(report_s), run_s_(run_s) {
+  FakeWorker(net::EventLoop* loop, wire::Heartbeat identity,
+             const std::map<std::string, uint16_t>& nodes, double heartbeat_interval_s,
+             double run_s)
+      : loop_(loop),
+        identity_(std::move(identity)),
+        heartbeat_interval_s_(heartbeat_interval_s),
+        run_s_(run_s) {
     for (const auto& [node, port] : nodes) {
       names_.push_back(node);
       clients_[node] =
           std::make_unique<net::HttpClient>(loop, "127.0.0.1", port, 1, 4, size_t{1} << 20);
     }
-    identity_.session = 1;
-    Report();
+    identity_.agent_epoch = 1;
+    Heartbeat();
   }
   std::map<std::pair<std::string, uint64_t>, Task>& tasks() { return tasks_; }
   // Every start, in order.
   std::vector<std::string> started;
 
  private:
-  void Report() {
+  void Heartbeat() {
     const double now = net::SteadyNow();
-    wire::Report report = identity_;
-    report.seq = ++seq_;
+    wire::Heartbeat heartbeat = identity_;
+    heartbeat.sequence = ++sequence_;
     for (auto& [key, task] : tasks_) {
       if (task.phase == wire::TaskPhase::kRunning && now >= task.ends_at) {
         task.phase = wire::TaskPhase::kEnded;
         task.cause = wire::EndCause::kDone;
       }
-      report.tasks.push_back(
+      heartbeat.tasks.push_back(
           {*wire::ParseTaskName(key.first), key.second, task.phase, task.cause, false});
     }
-    clients_[names_[at_]]->Call("POST", std::string(wire::kReportPath), ToJson(report).dump(), 4,
-                                [this](const net::Response& response) {
-                                  double next = report_s_;
-                                  const Json body = Json::parse(response.body, nullptr, false);
-                                  if (response.status == 200 && body.is_object() &&
-                                      body.value("mandate", uint64_t{0}) >= identity_.token) {
-                                    identity_.token = body["mandate"].get<uint64_t>();
-                                    for (const Json& order : body["orders"]) Follow(order);
-                                  } else if (response.status == 421 && body.contains("foreman")) {
-                                    const auto it =
-                                        std::find(names_.begin(), names_.end(), body["foreman"]);
-                                    if (it != names_.end()) {
-                                      at_ = static_cast<size_t>(it - names_.begin());
-                                    }
-                                    next = 0.05;
-                                  } else {
-                                    at_ = (at_ + 1) % names_.size();
-                                    next = report_s_;
-                                  }
-                                  loop_->StartTimer(&timer_, next, [this] { Report(); });
-                                });
+    clients_[names_[at_]]->Call(
+        "POST", std::string(wire::kHeartbeatPath), ToJson(heartbeat).dump(), 4,
+        [this](const net::Response& response) {
+          double next = heartbeat_interval_s_;
+          const Json body = Json::parse(response.body, nullptr, false);
+          if (response.status == 200 && body.is_object() &&
+              body.value("mandate", uint64_t{0}) >= identity_.fencing_token) {
+            identity_.fencing_token = body["mandate"].get<uint64_t>();
+            for (const Json& order : body["orders"]) Follow(order);
+          } else if (response.status == 421 && body.contains("foreman")) {
+            const auto it = std::find(names_.begin(), names_.end(), body["foreman"]);
+            if (it != names_.end()) {
+              at_ = static_cast<size_t>(it - names_.begin());
+            }
+            next = 0.05;
+          } else {
+            at_ = (at_ + 1) % names_.size();
+            next = heartbeat_interval_s_;
+          }
+          loop_->StartTimer(&timer_, next, [this] { Heartbeat(); });
+        });
   }
   void Follow(const Json& order) {
     const auto key =
@@ -266,35 +270,35 @@
     } else if (verb == "halt" && tasks_.contains(key) &&
                tasks_[key].phase == wire::TaskPhase::kRunning) {
       tasks_[key].phase = wire::TaskPhase::kEnded;
-      tasks_[key].cause = wire::EndCause::kHalted;
+      tasks_[key].cause = wire::EndCause::kStopped;
     } else if (verb == "clear") {
       tasks_.erase(key);
     }
   }
 
   net::EventLoop* loop_;
-  wire::Report identity_;
+  wire::Heartbeat identity_;
   std::vector<std::string> names_;
   std::map<std::string, std::unique_ptr<net::HttpClient>> clients_;
   size_t at_ = 0;
-  uint64_t seq_ = 0;
-  double report_s_;
+  uint64_t sequence_ = 0;
+  double heartbeat_interval_s_;
   double run_s_;
   std::map<std::pair<std::string, uint64_t>, Task> tasks_;
   net::EventLoop::Timer timer_;
 };
 
 // Rents machines at once; each starts a worker.
-class StandInCloud {
+class FakeCloud {
  public:
-  using Boot = std::function<std::unique_ptr<StandInWorker>(const wire::Report&)>;
-  StandInCloud(net::EventLoop* loop, std::vector<wire::MachineType> types, Boot boot)
+  using Boot = std::function<std::unique_ptr<FakeWorker>(const wire::Heartbeat&)>;
+  FakeCloud(net::EventLoop* loop, std::vector<wire::MachineType> types, Boot boot)
       : types_(std::move(types)),
         boot_(std::move(boot)),
-        server_(loop, "127.0.0.1", 0, kStandInLimits,
+        server_(loop, "127.0.0.1", 0, kFakeServerLimits,
                 [this](const net::ServerRequest& r, const net::ResponderPtr& p) { On(r, p); }) {}
   uint16_t port() const { return server_.port(); }
-  std::map<std::string, std::unique_ptr<StandInWorker>>& workers() { return workers_; }
+  std::map<std::string, std::unique_ptr<FakeWorker>>& workers() { return workers_; }
 
  private:
   void On(const net::ServerRequest& r, const net::ResponderPtr& p) {
@@ -309,12 +313,12 @@
     }
     if (r.path == "/hosts") {
       const Json body = Json::parse(r.body);
-      Json& names = hires_[body["hire"]];
+      Json& names = scale_outs_[body["hire"]];
       if (names.is_null()) {
         names = Json::array();
         for (int i = 0; i < body["howMany"].get<int>(); ++i) {
           const std::string name = "i-" + std::to_string(100'000 + ++count_);
-          wire::Report identity;
+          wire::Heartbeat identity;
           identity.machine = name;
           identity.address = "127.0.0.1:1";
           identity.type = body["alloy"];
@@ -338,12 +342,12 @@
 
   std::vector<wire::MachineType> types_;
   Boot boot_;
-  std::map<std::string, Json> hires_;
-  std::map<std::string, std::unique_ptr<StandInWorker>> workers_;
+  std::map<std::string, Json> scale_outs_;
+  std::map<std::string, std::unique_ptr<FakeWorker>> workers_;
   int count_ = 0;
   net::HttpServer server_;
 };
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
 
-#endif  // ZINCLEAD_REHEARSAL_STAND_INS_H_
+#endif  // ZINCLEAD_FAULT_INJECTION_FAKES_H_
--- a/src/rehearsal/scenario.cc
+++ b/src/fault_injection/scenario.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/scenario.h"
+#include "fault_injection/scenario.h"
 
 #include <array>
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 #include "wire/labels.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 namespace {
 
 constexpr int kMaxSteps = 20'000'000;
@@ -222,4 +222,4 @@
   return ReadScenario(lua.get(), path);
 }
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
--- a/src/rehearsal/scenario.h
+++ b/src/fault_injection/scenario.h
@@ -1,7 +1,7 @@
-// A rehearsal as a script describes it: users, faults and what is expected. Scripts are Lua files
-// that return one table; docs/rehearsal.md lists its fields.
-#ifndef ZINCLEAD_REHEARSAL_SCENARIO_H_
-#define ZINCLEAD_REHEARSAL_SCENARIO_H_
+// A scenario as a script describes it: users, faults and what is expected. Scripts are Lua files
+// that return one table; docs/fault-injection.md lists its fields.
+#ifndef ZINCLEAD_FAULT_INJECTION_SCENARIO_H_
+#define ZINCLEAD_FAULT_INJECTION_SCENARIO_H_
 
 #include <cstdint>
 #include <stdexcept>
@@ -10,7 +10,7 @@
 
 #include "wire/wire.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 
 // Users who submit `count` jobs of one task, evenly spread over `over_s`.
 struct UserGroup {
@@ -60,6 +60,6 @@
 // `random(low, high)` draws whole numbers from `seed`.
 Scenario LoadScenario(const std::string& path, uint64_t seed);
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
 
-#endif  // ZINCLEAD_REHEARSAL_SCENARIO_H_
+#endif  // ZINCLEAD_FAULT_INJECTION_SCENARIO_H_
--- a/src/rehearsal/player.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/player.h"
+#include "fault_injection/scenario_runner.h"
 
 #include <signal.h>
 
@@ -18,12 +18,12 @@
 #include "config/operator_settings.h"
 #include "config/settings.h"
 #include "core/token_bucket.h"
-#include "rehearsal/controller_processes.h"
-#include "rehearsal/stand_ins.h"
-#include "rehearsal/users.h"
+#include "fault_injection/controller_processes.h"
+#include "fault_injection/fakes.h"
+#include "fault_injection/users.h"
 #include "wire/labels.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 namespace {
 
 constexpr double kReportS = 0.5;
@@ -36,7 +36,7 @@
 
 volatile sig_atomic_t interrupted = 0;
 
-// SIGINT and SIGTERM end the rehearsal by an exception while one of these lives.
+// SIGINT and SIGTERM end the run by an exception while one of these lives.
 class InterruptGuard {
  public:
   InterruptGuard() {
@@ -68,7 +68,7 @@
 
 std::string Seconds(double wait) { return wait >= kNever ? "never" : Format("%.1f s", wait); }
 
-wire::MachineType RehearsedType() {
+wire::MachineType ScenarioMachineType() {
   wire::MachineType type;
   type.name = "c16";
   type.cpus = kMachineCpus;
@@ -81,22 +81,22 @@
   return type;
 }
 
-class Rehearsal {
+class ScenarioRun {
  public:
-  Rehearsal(const Scenario& scenario, const PlayOptions& options);
-  ~Rehearsal() { std::remove(operator_path_.c_str()); }
-  Rehearsal(const Rehearsal&) = delete;
-  Rehearsal& operator=(const Rehearsal&) = delete;
+  ScenarioRun(const Scenario& scenario, const RunOptions& options);
+  ~ScenarioRun() { std::remove(operator_path_.c_str()); }
+  ScenarioRun(const ScenarioRun&) = delete;
+  ScenarioRun& operator=(const ScenarioRun&) = delete;
 
-  std::vector<Finding> Run();
+  std::vector<CheckResult> Run();
 
  private:
   struct Event {
     double at = 0;
     std::function<void()> happen;
   };
-  ControllerOptions Options(const PlayOptions& options);
-  StandInStore::Fate FateOf(const wire::Json& transaction);
+  ControllerOptions Options(const RunOptions& options);
+  FakeStore::InjectedFault InjectedFaultOf(const wire::Json& transaction);
   int Leader();
   void Wait(const std::function<bool()>& done);
   void ScheduleFaults(double start);
@@ -106,22 +106,22 @@
   void LookForDoubleRuns();
   std::vector<Users::Answer> AskUsers();
 
-  Finding AcceptedStayKnown(const std::vector<Users::Answer>& answers) const;
-  Finding RefusedDoNotRun(const std::vector<Users::Answer>& answers) const;
-  Finding RefusalsNameATime() const;
-  Finding WaitsAreBounded() const;
-  Finding ProductionFirst() const;
-  Finding BestEffortTrickle() const;
+  CheckResult AcceptedStayKnown(const std::vector<Users::Answer>& answers) const;
+  CheckResult RefusedDoNotRun(const std::vector<Users::Answer>& answers) const;
+  CheckResult RefusalsNameATime() const;
+  CheckResult WaitsAreBounded() const;
+  CheckResult ProductionFirst() const;
+  CheckResult BestEffortTrickle() const;
   std::vector<double> WaitsOf(const std::function<bool(const UserGroup&)>& wanted) const;
 
   const Scenario scenario_;
   const uint64_t seed_;
   const std::string operator_path_;
   net::EventLoop loop_;
-  StandInStore store_;
+  FakeStore store_;
   core::TokenBucket write_tokens_;
   ControllerProcesses controllers_;
-  std::unique_ptr<StandInCloud> cloud_;
+  std::unique_ptr<FakeCloud> cloud_;
   std::unique_ptr<Users> users_;
   std::optional<admission::Limits> limits_;
   std::vector<Event> events_;
@@ -130,33 +130,33 @@
   std::set<std::string> ran_twice_;
 };
 
-Rehearsal::Rehearsal(const Scenario& scenario, const PlayOptions& options)
+ScenarioRun::ScenarioRun(const Scenario& scenario, const RunOptions& options)
     : scenario_(scenario),
       seed_(options.seed),
-      operator_path_("/tmp/zinclead-rehearsal-" + std::to_string(getpid()) + ".xml"),
+      operator_path_("/tmp/zinclead-scenario-" + std::to_string(getpid()) + ".xml"),
       store_(&loop_),
       write_tokens_(scenario.write_rps, scenario.write_rps),
       controllers_(&loop_, Options(options)) {
-  store_.fate = [this](const wire::Json& transaction) { return FateOf(transaction); };
+  store_.inject_fault = [this](const wire::Json& transaction) { return InjectedFaultOf(transaction); };
   const auto nodes = controllers_.Nodes();
-  cloud_ = std::make_unique<StandInCloud>(&loop_, std::vector<wire::MachineType>{RehearsedType()},
-                                          [this, nodes](const wire::Report& identity) {
-                                            return std::make_unique<StandInWorker>(
-                                                &loop_, identity, nodes, kReportS, kTaskS);
-                                          });
+  cloud_ = std::make_unique<FakeCloud>(&loop_, std::vector<wire::MachineType>{ScenarioMachineType()},
+                                       [this, nodes](const wire::Heartbeat& identity) {
+                                         return std::make_unique<FakeWorker>(
+                                             &loop_, identity, nodes, kReportS, kTaskS);
+                                       });
   controllers_.SetEndpoints(cloud_->port(), store_.port());
   for (size_t i = 0; i < controllers_.count(); ++i) controllers_.Start(i);
   config::Settings settings;
-  config::OperatorSettings tuning;
+  config::OperatorSettings operator_settings;
   std::string error;
   if (!config::LoadSettings(controllers_.SettingsPath(0), &settings, &error) ||
-      !config::LoadOperatorSettings(operator_path_, &tuning, &error)) {
-    throw std::runtime_error("settings of the rehearsal: " + error);
+      !config::LoadOperatorSettings(operator_path_, &operator_settings, &error)) {
+    throw std::runtime_error("settings of the scenario: " + error);
   }
-  limits_ = admission::DeriveLimits(settings, tuning);
+  limits_ = admission::DeriveLimits(settings, operator_settings);
 }
 
-ControllerOptions Rehearsal::Options(const PlayOptions& options) {
+ControllerOptions ScenarioRun::Options(const RunOptions& options) {
   std::ofstream(operator_path_) << "<zinclead><admission fair=\"" << (scenario_.fair ? 1 : 0)
                                 << "\"/></zinclead>\n";
   ControllerOptions out;
@@ -165,22 +165,23 @@
   out.count = static_cast<size_t>(scenario_.controllers);
   out.teams.clear();
   for (int i = 0; i < scenario_.teams; ++i) out.teams.push_back("team-" + std::to_string(i));
-  out.report_s = kReportS;
+  out.heartbeat_interval_s = kReportS;
   out.write_rps = scenario_.write_rps;
   return out;
 }
 
-StandInStore::Fate Rehearsal::FateOf(const wire::Json& transaction) {
-  if (UnderWay(FaultKind::kStoreRefuses, -1) > 0) return StandInStore::Fate::kRefused;
+FakeStore::InjectedFault ScenarioRun::InjectedFaultOf(const wire::Json& transaction) {
+  if (UnderWay(FaultKind::kStoreRefuses, -1) > 0) return FakeStore::InjectedFault::kRefused;
   const auto writes = static_cast<double>(transaction["writes"].size());
   if (!write_tokens_.Take(net::SteadyNow(), writes, core::Importance::kLeadership)) {
-    return StandInStore::Fate::kTooMany;
+    return FakeStore::InjectedFault::kTooMany;
   }
-  if (UnderWay(FaultKind::kStoreLoses, -1) > 0) return StandInStore::Fate::kExecutedUnanswered;
-  return StandInStore::Fate::kNormal;
+  if (UnderWay(FaultKind::kStoreLoses, -1) > 0)
+    return FakeStore::InjectedFault::kExecutedUnanswered;
+  return FakeStore::InjectedFault::kNormal;
 }
 
-int Rehearsal::Leader() {
+int ScenarioRun::Leader() {
   const auto it = store_.entries().find(kLeaderKey);
   if (it == store_.entries().end()) return -1;
   const std::string name = it->second.value.value("node", std::string());
@@ -190,7 +191,7 @@
   return -1;
 }
 
-void Rehearsal::Wait(const std::function<bool()>& done) {
+void ScenarioRun::Wait(const std::function<bool()>& done) {
   const auto until = [&] {
     if (interrupted != 0) throw std::runtime_error("interrupted");
     return done();
@@ -199,7 +200,7 @@
   while (!over) over = RunUntil(&loop_, until);
 }
 
-void Rehearsal::ScheduleFaults(double start) {
+void ScenarioRun::ScheduleFaults(double start) {
   for (const Fault& fault : scenario_.faults) {
     // The leader of that moment; the end is for the same controller.
     auto controller = std::make_shared<int>(fault.controller);
@@ -214,14 +215,14 @@
                    [](const Event& a, const Event& b) { return a.at < b.at; });
 }
 
-void Rehearsal::BeginFault(const Fault& fault, int controller) {
+void ScenarioRun::BeginFault(const Fault& fault, int controller) {
   ++UnderWay(fault.kind, controller);
   const auto index = static_cast<size_t>(controller);
   if (fault.kind == FaultKind::kPauseController) controllers_.Pause(index);
   if (fault.kind == FaultKind::kKillController) controllers_.Kill(index);
 }
 
-void Rehearsal::EndFault(const Fault& fault, int controller) {
+void ScenarioRun::EndFault(const Fault& fault, int controller) {
   if (--UnderWay(fault.kind, controller) > 0) return;
   const auto index = static_cast<size_t>(controller);
   if (fault.kind == FaultKind::kPauseController) controllers_.Resume(index);
@@ -232,13 +233,13 @@
 }
 
 // Faults of the state service have no controller.
-int& Rehearsal::UnderWay(FaultKind kind, int controller) {
+int& ScenarioRun::UnderWay(FaultKind kind, int controller) {
   const bool of_controller =
       kind == FaultKind::kPauseController || kind == FaultKind::kKillController;
   return under_way_[{kind, of_controller ? controller : -1}];
 }
 
-void Rehearsal::LookForDoubleRuns() {
+void ScenarioRun::LookForDoubleRuns() {
   std::set<std::string> running;
   for (const auto& [id, worker] : cloud_->workers()) {
     for (const auto& [key, task] : worker->tasks()) {
@@ -250,7 +251,7 @@
 
 // Asks each controller about each job. So many questions at once are not all answered: what is left
 // is asked again.
-std::vector<Users::Answer> Rehearsal::AskUsers() {
+std::vector<Users::Answer> ScenarioRun::AskUsers() {
   std::vector<Users::Answer> answers = users_->Questions();
   for (int round = 0; round < kAskRounds; ++round) {
     bool all_answered = false;
@@ -263,7 +264,7 @@
   return answers;
 }
 
-std::vector<Finding> Rehearsal::Run() {
+std::vector<CheckResult> ScenarioRun::Run() {
   Wait([this] { return Leader() >= 0; });
   const double start = net::SteadyNow();
   users_ = std::make_unique<Users>(&loop_, controllers_, scenario_, start, seed_);
@@ -284,9 +285,9 @@
            users_->BoundedAreSettled();
   });
   const std::vector<Users::Answer> answers = AskUsers();
-  std::vector<Finding> findings = {AcceptedStayKnown(answers), RefusedDoNotRun(answers),
-                                   RefusalsNameATime(),        WaitsAreBounded(),
-                                   ProductionFirst(),          BestEffortTrickle()};
+  std::vector<CheckResult> findings = {AcceptedStayKnown(answers), RefusedDoNotRun(answers),
+                                       RefusalsNameATime(),        WaitsAreBounded(),
+                                       ProductionFirst(),          BestEffortTrickle()};
   findings.push_back(
       {"no task ran on two machines", ran_twice_.empty() ? Outcome::kHeld : Outcome::kBroken,
        ran_twice_.empty()
@@ -302,8 +303,8 @@
   return findings;
 }
 
-Finding Rehearsal::AcceptedStayKnown(const std::vector<Users::Answer>& answers) const {
-  Finding finding{"accepted jobs stay known at every controller", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::AcceptedStayKnown(const std::vector<Users::Answer>& answers) const {
+  CheckResult finding{"accepted jobs stay known at every controller", Outcome::kNotChecked, ""};
   size_t known = 0;
   size_t unanswered = 0;
   for (const Users::Answer& answer : answers) {
@@ -322,12 +323,12 @@
   return finding;
 }
 
-Finding Rehearsal::RefusedDoNotRun(const std::vector<Users::Answer>& answers) const {
-  Finding finding{"a job that was refused to the end is not taken", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::RefusedDoNotRun(const std::vector<Users::Answer>& answers) const {
+  CheckResult finding{"a job that was refused to the end is not taken", Outcome::kNotChecked, ""};
   size_t checked = 0;
   for (const Users::Answer& answer : answers) {
     const SubmittedJob& job = users_->jobs()[answer.job];
-    if (!job.given_up || job.in_doubt) continue;
+    if (!job.given_up || job.outcome_unknown) continue;
     if (answer.status == 200) {
       return {finding.rule, Outcome::kBroken,
               job.id + " is known at " + ControllerProcesses::NameOf(answer.controller)};
@@ -339,7 +340,7 @@
   return finding;
 }
 
-Finding Rehearsal::RefusalsNameATime() const {
+CheckResult ScenarioRun::RefusalsNameATime() const {
   size_t bad = 0;
   for (const SubmittedJob& job : users_->jobs()) bad += job.bad_retry_after ? 1 : 0;
   return {"each refusal names a time to come back", bad == 0 ? Outcome::kHeld : Outcome::kBroken,
@@ -348,7 +349,7 @@
 }
 
 // In order; jobs that were not accepted count as waiting for ever.
-std::vector<double> Rehearsal::WaitsOf(const std::function<bool(const UserGroup&)>& wanted) const {
+std::vector<double> ScenarioRun::WaitsOf(const std::function<bool(const UserGroup&)>& wanted) const {
   std::vector<double> waits;
   for (const SubmittedJob& job : users_->jobs()) {
     if (!wanted(job.group)) continue;
@@ -358,8 +359,8 @@
   return waits;
 }
 
-Finding Rehearsal::WaitsAreBounded() const {
-  Finding finding{"bounded users are accepted within the bound", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::WaitsAreBounded() const {
+  CheckResult finding{"bounded users are accepted within the bound", Outcome::kNotChecked, ""};
   for (const auto& [label, tier] : wire::kPriorities) {
     const auto waits = WaitsOf(
         [tier = tier](const UserGroup& group) { return group.bounded && group.tier == tier; });
@@ -379,7 +380,7 @@
   return finding;
 }
 
-Finding Rehearsal::ProductionFirst() const {
+CheckResult ScenarioRun::ProductionFirst() const {
   const auto median = [this](wire::Priority tier) -> std::optional<double> {
     const auto waits = WaitsOf([tier](const UserGroup& group) { return group.tier == tier; });
     if (waits.empty()) return std::nullopt;
@@ -387,15 +388,15 @@
   };
   const auto first = median(wire::Priority::kProduction);
   const auto last = median(wire::Priority::kLow);
-  Finding finding{"production waits no longer than best effort", Outcome::kNotChecked, ""};
+  CheckResult finding{"production waits no longer than best effort", Outcome::kNotChecked, ""};
   if (!first || !last) return finding;
   finding.outcome = *first <= *last + 1 ? Outcome::kHeld : Outcome::kBroken;
   finding.evidence = "medians " + Seconds(*first) + " and " + Seconds(*last);
   return finding;
 }
 
-Finding Rehearsal::BestEffortTrickle() const {
-  Finding finding{"best effort gets its trickle", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::BestEffortTrickle() const {
+  CheckResult finding{"best effort gets its trickle", Outcome::kNotChecked, ""};
   if (scenario_.best_effort_at_least == 0) return finding;
   const auto& jobs = users_->jobs();
   const auto accepted = std::count_if(jobs.begin(), jobs.end(), [](const SubmittedJob& job) {
@@ -409,9 +410,9 @@
 
 }  // namespace
 
-std::vector<Finding> Play(const Scenario& scenario, const PlayOptions& options) {
+std::vector<CheckResult> RunScenario(const Scenario& scenario, const RunOptions& options) {
   const InterruptGuard guard;
-  return Rehearsal(scenario, options).Run();
+  return ScenarioRun(scenario, options).Run();
 }
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
--- a/src/rehearsal/player.h
+++ b/src/fault_injection/scenario_runner.h
@@ -1,31 +1,31 @@
 // Plays a scenario against real controllers and stand-ins, and judges what happened.
-#ifndef ZINCLEAD_REHEARSAL_PLAYER_H_
-#define ZINCLEAD_REHEARSAL_PLAYER_H_
+#ifndef ZINCLEAD_FAULT_INJECTION_SCENARIO_RUNNER_H_
+#define ZINCLEAD_FAULT_INJECTION_SCENARIO_RUNNER_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "rehearsal/scenario.h"
+#include "fault_injection/scenario.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 
 enum class Outcome : uint8_t { kHeld, kBroken, kNotChecked };
 
-struct Finding {
+struct CheckResult {
   std::string rule;
   Outcome outcome = Outcome::kNotChecked;
   std::string evidence;
 };
 
-struct PlayOptions {
+struct RunOptions {
   std::string program;  // zinclead
   uint64_t seed = 1;
 };
 
 // Ends every process that it started, also when it throws or the caller is interrupted.
-std::vector<Finding> Play(const Scenario& scenario, const PlayOptions& options);
+std::vector<CheckResult> RunScenario(const Scenario& scenario, const RunOptions& options);
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
 
-#endif  // ZINCLEAD_REHEARSAL_PLAYER_H_
+#endif  // ZINCLEAD_FAULT_INJECTION_SCENARIO_RUNNER_H_
--- a/src/rehearsal/users.cc
+++ b/src/fault_injection/users.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/users.h"
+#include "fault_injection/users.h"
 
 #include <algorithm>
 #include <random>
@@ -6,7 +6,7 @@
 #include "admission/limits.h"
 #include "wire/wire.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 namespace {
 
 constexpr size_t kConnections = 100;
@@ -62,7 +62,7 @@
 
 void Users::Submit(size_t index, double now) {
   SubmittedJob& job = jobs_[index];
-  if (now - job.begins_at > admission::kUserPatienceS) {
+  if (now - job.begins_at > admission::kUserRetryLimitS) {
     job.given_up = true;
     return;
   }
@@ -70,7 +70,7 @@
   ++tries_;
   const size_t controller = next_controller_[index]++ % clients_.size();
   clients_[controller]->Call(
-      "POST", std::string(wire::kJobsPath), SubmissionBody(job), wire::kSubmitPatienceS,
+      "POST", std::string(wire::kJobsPath), SubmissionBody(job), wire::kSubmitTimeoutS,
       [this, index](const net::Response& response) { OnAnswer(index, response); });
 }
 
@@ -82,7 +82,7 @@
     return;
   }
   const bool refused = response.status == 429;
-  if (!refused) job.in_doubt = true;
+  if (!refused) job.outcome_unknown = true;
   const int named = response.retry_after_s;
   if (refused && (named < 1 || named > admission::kMaxRetryAfterS)) job.bad_retry_after = true;
   const double wait = job.group.heeds_retry_after
@@ -121,4 +121,4 @@
   if (*left == 0) (*finish)();
 }
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
--- a/src/rehearsal/users.h
+++ b/src/fault_injection/users.h
@@ -1,6 +1,6 @@
-// Users of a rehearsal: they submit, come back as PROTOCOL says, and keep what they were told.
-#ifndef ZINCLEAD_REHEARSAL_USERS_H_
-#define ZINCLEAD_REHEARSAL_USERS_H_
+// Users of a scenario: they submit, retry as PROTOCOL says, and keep what they were told.
+#ifndef ZINCLEAD_FAULT_INJECTION_USERS_H_
+#define ZINCLEAD_FAULT_INJECTION_USERS_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,12 +10,12 @@
 #include <utility>
 #include <vector>
 
+#include "fault_injection/controller_processes.h"
+#include "fault_injection/scenario.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
-#include "rehearsal/controller_processes.h"
-#include "rehearsal/scenario.h"
 
-namespace zinclead::rehearsal {
+namespace zinclead::fault_injection {
 
 struct SubmittedJob {
   std::string id;
@@ -23,7 +23,8 @@
   double begins_at = 0;
   double accepted_at = -1;
   bool given_up = false;
-  bool in_doubt = false;  // some try had no answer, or one that leaves open what became of it
+  bool outcome_unknown =
+      false;  // some try had no answer, or one that leaves open what became of it
   bool bad_retry_after = false;
   int tries = 0;
 };
@@ -66,6 +67,6 @@
   uint64_t tries_ = 0;
 };
 
-}  // namespace zinclead::rehearsal
+}  // namespace zinclead::fault_injection
 
-#endif  // ZINCLEAD_REHEARSAL_USERS_H_
+#endif  // ZINCLEAD_FAULT_INJECTION_USERS_H_
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-net::Response TryLater(const char* why) { return {503, 1, wire::ErrorBody(why)}; }
+net::Response ServiceUnavailable(const char* why) { return {503, 1, wire::ErrorBody(why)}; }
 
 Leader::Leader(net::EventLoop* loop, const config::Settings& settings,
-               const config::OperatorSettings& tuning, state::StoreClient* store,
+               const config::OperatorSettings& operator_settings, state::StoreClient* store,
                cloud::CloudClient* cloud, election::Elector* elector, SchedulerState* scheduler,
-               uint64_t term, wire::StoreCondition fence, std::function<bool()> isolated)
+               uint64_t term, wire::VersionPrecondition fence, std::function<bool()> isolated)
     : loop_(loop),
       settings_(settings),
-      tuning_(tuning),
+      operator_settings_(operator_settings),
       store_(store),
       cloud_(cloud),
       elector_(elector),
@@ -33,7 +33,7 @@
       term_(term),
       fence_(std::move(fence)),
       isolated_(std::move(isolated)),
-      cluster_(std::make_unique<core::Cluster>(settings, tuning, term, net::SteadyNow(),
+      cluster_(std::make_unique<core::Cluster>(settings, operator_settings, term, net::SteadyNow(),
                                                net::WallNow(), std::random_device()(),
                                                net::SteadyNow)) {
   load_started_ = net::SteadyNow();
@@ -47,8 +47,9 @@
     if (scheduler_->cluster == cluster_.get()) scheduler_->cluster = nullptr;
   }
   // Whether they were carried out is for the next leader to say.
-  for (auto& [id, waiters] : waiters_) {
-    for (Waiter& waiter : waiters) waiter.reply(TryLater("the leader is changing"));
+  for (auto& [id, requests] : pending_requests_) {
+    for (PendingRequest& request : requests)
+      request.reply(ServiceUnavailable("the leader is changing"));
   }
 }
 
@@ -59,7 +60,7 @@
                [this, alive = alive_, after](state::Outcome outcome, wire::StorePage page) {
                  if (!*alive) return;
                  if (outcome != state::Outcome::kOk) {
-                   loop_->StartTimer(&load_timer_, settings_.report_s / 10,
+                   loop_->StartTimer(&load_timer_, settings_.heartbeat_interval_s / 10,
                                      [this, after] { Load(after); });
                    return;
                  }
@@ -83,7 +84,8 @@
       state::Committer::Hooks{[this] { OnStored(); },
                               [elector = elector_] { elector->OnFenced(); }});
   loaded_ = true;
-  if (peers_knowing_.size() == settings_.peers.size()) cluster_->OnEarlierLeadersEnded(now);
+  if (peers_acknowledging_term_.size() == settings_.peers.size())
+    cluster_->OnEarlierLeadersEnded(now);
   spdlog::info("term {}: {} records loaded in {:.3f} s, {} active jobs, {} machines", term_,
                records_, now - load_started_, cluster_->ActiveJobs(), cluster_->machines().size());
   {
@@ -98,25 +100,26 @@
 // while longer, so that a common outage of the state service kills no running work.
 // But one that has lost the other controllers too is alone in that, and has a successor by now: as
 // long as it answered them its workers would not go there, and all that it led would wait for them.
-bool Leader::Entitled(double now) const {
+bool Leader::MayRenewWorkerLeases(double now) const {
   if (!loaded_) return false;
   if (now < elector_->valid_until()) return true;
   return now < elector_->valid_until() + core::Cluster::KeepAliveLimit(settings_) && !isolated_();
 }
 
 void Leader::Tick() {
-  loop_->StartTimer(&tick_, settings_.report_s / 4, [this] { Tick(); });
+  loop_->StartTimer(&tick_, settings_.heartbeat_interval_s / 4, [this] { Tick(); });
   const double now = net::SteadyNow();
-  std::vector<Waiter> late;
-  for (auto it = waiters_.begin(); it != waiters_.end();) {
+  std::vector<PendingRequest> late;
+  for (auto it = pending_requests_.begin(); it != pending_requests_.end();) {
     auto& list = it->second;
-    for (Waiter& waiter : list) {
-      if (waiter.until <= now) late.push_back(std::move(waiter));
+    for (PendingRequest& request : list) {
+      if (request.until <= now) late.push_back(std::move(request));
     }
-    std::erase_if(list, [](const Waiter& w) { return w.reply == nullptr; });
-    it = list.empty() ? waiters_.erase(it) : std::next(it);
+    std::erase_if(list, [](const PendingRequest& w) { return w.reply == nullptr; });
+    it = list.empty() ? pending_requests_.erase(it) : std::next(it);
   }
-  for (Waiter& waiter : late) waiter.reply(TryLater("the state service does not answer"));
+  for (PendingRequest& request : late)
+    request.reply(ServiceUnavailable("the state service does not answer"));
   AfterChange();
   PollCloud(now);
   if (now >= summary_at_) {
@@ -130,18 +133,18 @@
   spdlog::info("term {}: {} active jobs, {} pending tasks, {} machines{}", term_,
                cluster_->ActiveJobs(), cluster_->PendingTasks(), cluster_->machines().size(),
                cluster_->settled() ? "" : ", taking over");
-  if (tuning_.admission.fair == 0) return;
+  if (operator_settings_.admission.fair == 0) return;
   const admission::AdmissionPolicy& admission = cluster_->admission();
   const admission::Counters& counts = admission.counters();
   spdlog::info(
       "term {}: admission: {} admitted, {} refused with a turn, {} without, {} turns lapsed, {} "
       "turns held, longest wait {:.1f} s",
-      term_, counts.admitted, counts.refused_with_turn, counts.refused_without_turn,
-      counts.turns_lapsed, admission.turns(), counts.longest_wait_s);
+      term_, counts.admitted, counts.refused_with_reservation, counts.refused_without_reservation,
+      counts.reservations_expired, admission.reservations(), counts.longest_wait_s);
 }
 
 std::optional<wire::CreditGrant> Leader::MakeCreditGrant() {
-  if (tuning_.admission.fair == 0) return std::nullopt;
+  if (operator_settings_.admission.fair == 0) return std::nullopt;
   if (!loaded_) {
     // Nothing can be judged yet: followers let through what they do without a grant.
     wire::CreditGrant none;
@@ -160,7 +163,7 @@
       const std::lock_guard lock(scheduler_->mutex);
       known = cluster_->HasMachineTypes();
     }
-    types_at_ = now + (known ? tuning_.idle_s : settings_.report_s / 3);
+    types_at_ = now + (known ? operator_settings_.idle_s : settings_.heartbeat_interval_s / 3);
     cloud_->MachineTypes(
         [this, alive = alive_](std::optional<std::vector<wire::MachineType>> types) {
           if (!*alive || !types) return;
@@ -191,45 +194,47 @@
   {
     const std::lock_guard lock(scheduler_->mutex);
     scheduler_->valid_until = elector_->valid_until();
-    schedule = !scheduler_->sooner && cluster_->NextWake() < scheduler_->sleeps_until;
-    write = cluster_->HasDirty();
-    if (schedule) scheduler_->sooner = true;
+    schedule = !scheduler_->wake_requested && cluster_->NextWake() < scheduler_->next_wake;
+    write = cluster_->HasQueuedRecords();
+    if (schedule) scheduler_->wake_requested = true;
   }
   if (schedule) scheduler_->wake.notify_one();
-  if (write) committer_->Kick();
+  if (write) committer_->Flush();
 }
 
-void Leader::Apply(const core::Effects& effects) {
-  for (const wire::RentRequest& request : effects.rent) {
+void Leader::Apply(const core::CloudActions& cloud_actions) {
+  for (const wire::ScaleOutRequest& request : cloud_actions.scale_out) {
     spdlog::info("renting {} {} in {}{} ({})", request.count, request.type, request.zone,
                  request.spot ? ", spot" : "", request.name);
-    cloud_->Rent(request, [this, alive = alive_, request](cloud::RentResult result,
-                                                          const std::vector<std::string>& names) {
-      if (!*alive) return;
-      using Outcome = core::Cluster::RentOutcome;
-      Outcome outcome = Outcome::kUnknown;
-      if (result == cloud::RentResult::kRented) outcome = Outcome::kRented;
-      if (result == cloud::RentResult::kNoCapacity) outcome = Outcome::kNoCapacity;
-      spdlog::debug("rent {}: {} machines, outcome {}", request.name, names.size(),
-                    static_cast<int>(outcome));
-      {
-        const std::lock_guard lock(scheduler_->mutex);
-        cluster_->OnRented(request.name, outcome, names, net::SteadyNow());
-      }
-      AfterChange();
-    });
+    cloud_->ScaleOut(
+        request, [this, alive = alive_, request](cloud::ScaleOutResult result,
+                                                 const std::vector<std::string>& names) {
+          if (!*alive) return;
+          using Outcome = core::Cluster::ScaleOutOutcome;
+          Outcome outcome = Outcome::kUnknown;
+          if (result == cloud::ScaleOutResult::kProvisioned) outcome = Outcome::kProvisioned;
+          if (result == cloud::ScaleOutResult::kNoCapacity) outcome = Outcome::kNoCapacity;
+          spdlog::debug("rent {}: {} machines, outcome {}", request.name, names.size(),
+                        static_cast<int>(outcome));
+          {
+            const std::lock_guard lock(scheduler_->mutex);
+            cluster_->OnScaleOutAnswered(request.name, outcome, names, net::SteadyNow());
+          }
+          AfterChange();
+        });
   }
-  for (size_t i = 0; i < effects.remove.size(); i += wire::kMaxDeleteNames) {
+  for (size_t i = 0; i < cloud_actions.scale_in.size(); i += wire::kMaxDeleteNames) {
     const std::vector<std::string> names(
-        effects.remove.begin() + static_cast<std::ptrdiff_t>(i),
-        effects.remove.begin() + static_cast<std::ptrdiff_t>(
-                                     std::min(i + wire::kMaxDeleteNames, effects.remove.size())));
+        cloud_actions.scale_in.begin() + static_cast<std::ptrdiff_t>(i),
+        cloud_actions.scale_in.begin() +
+            static_cast<std::ptrdiff_t>(
+                std::min(i + wire::kMaxDeleteNames, cloud_actions.scale_in.size())));
     spdlog::info("returning {} machines, {} the first", names.size(), names.front());
     cloud_->Delete(names, [this, alive = alive_, names](bool gone) {
       if (!*alive) return;
       {
         const std::lock_guard lock(scheduler_->mutex);
-        cluster_->OnDeleted(names, gone, net::SteadyNow());
+        cluster_->OnTerminated(names, gone, net::SteadyNow());
       }
       AfterChange();
     });
@@ -237,9 +242,9 @@
   AfterChange();
 }
 
-void Leader::OnPeerKnows(const std::string& peer) {
-  if (!peers_knowing_.insert(peer).second || !loaded_) return;
-  if (peers_knowing_.size() < settings_.peers.size()) return;
+void Leader::OnPeerAcknowledgedTerm(const std::string& peer) {
+  if (!peers_acknowledging_term_.insert(peer).second || !loaded_) return;
+  if (peers_acknowledging_term_.size() < settings_.peers.size()) return;
   {
     const std::lock_guard lock(scheduler_->mutex);
     cluster_->OnEarlierLeadersEnded(net::SteadyNow());
@@ -248,48 +253,48 @@
 }
 
 void Leader::OnStored() {
-  std::vector<std::string> settled;
+  std::vector<std::string> reconciled;
   {
     const std::lock_guard lock(scheduler_->mutex);
-    settled = cluster_->TakeSettledJobs();
+    reconciled = cluster_->TakeDurableStateChanges();
   }
   const auto alive = alive_;
-  for (const std::string& id : settled) {
-    AnswerWaiters(id);
+  for (const std::string& id : reconciled) {
+    CompletePendingRequests(id);
     if (!*alive) return;
   }
   AfterChange();
 }
 
-void Leader::AnswerWaiters(const std::string& id) {
-  const auto it = waiters_.find(id);
-  if (it == waiters_.end()) return;
+void Leader::CompletePendingRequests(const std::string& id) {
+  const auto it = pending_requests_.find(id);
+  if (it == pending_requests_.end()) return;
   std::optional<core::Cluster::JobView> view;
   {
     const std::lock_guard lock(scheduler_->mutex);
     view = cluster_->View(id);
   }
   if (!view || !view->stored) return;
-  std::vector<Waiter> ready;
-  for (Waiter& waiter : it->second) {
+  std::vector<PendingRequest> ready;
+  for (PendingRequest& request : it->second) {
     // Who submits waits for the record, who cancels for the end.
-    if (waiter.submission || view->final) ready.push_back(std::move(waiter));
+    if (request.submission || view->final) ready.push_back(std::move(request));
   }
-  std::erase_if(it->second, [](const Waiter& w) { return w.reply == nullptr; });
-  if (it->second.empty()) waiters_.erase(it);
+  std::erase_if(it->second, [](const PendingRequest& w) { return w.reply == nullptr; });
+  if (it->second.empty()) pending_requests_.erase(it);
   const bool valid = elector_->Valid(net::SteadyNow());
-  for (Waiter& waiter : ready) {
+  for (PendingRequest& request : ready) {
     if (!valid && !view->final) {
-      waiter.reply(TryLater("the leader's lease has lapsed"));
+      request.reply(ServiceUnavailable("the leader's lease has lapsed"));
     } else {
-      waiter.reply({waiter.submission ? 201 : 200, 0, wire::JobStatusBody(id, view->phase)});
+      request.reply({request.submission ? 201 : 200, 0, wire::JobStatusBody(id, view->phase)});
     }
   }
 }
 
 void Leader::Submit(const wire::JobSpec& spec, Reply reply) {
   const double now = net::SteadyNow();
-  if (!loaded_) return reply(TryLater("the leader is loading its records"));
+  if (!loaded_) return reply(ServiceUnavailable("the leader is loading its records"));
   if (!elector_->Valid(now)) {
     // Nothing can be made durable now. What is final stays true, whoever leads.
     std::optional<core::Cluster::JobView> view;
@@ -298,7 +303,7 @@
       view = cluster_->View(spec.id);
     }
     if (view && view->final) return reply({200, 0, wire::JobStatusBody(spec.id, view->phase)});
-    return reply(TryLater("the state service does not answer"));
+    return reply(ServiceUnavailable("the state service does not answer"));
   }
   std::string error;
   SubmitOutcome outcome{};
@@ -316,8 +321,8 @@
       spdlog::debug("job {} taken in: {} tasks of {}", spec.id, spec.tasks, spec.job_class);
       [[fallthrough]];
     case SubmitOutcome::kPendingStore:
-      waiters_[spec.id].push_back(
-          {std::move(reply), now + kPatienceShare * wire::kSubmitPatienceS, true});
+      pending_requests_[spec.id].push_back(
+          {std::move(reply), now + kPatienceShare * wire::kSubmitTimeoutS, true});
       return AfterChange();
     case SubmitOutcome::kUnprocessable:
       return reply({422, 0, wire::ErrorBody(error)});
@@ -325,11 +330,12 @@
       return reply(
           {429, busy.retry_after_s, wire::ErrorBody("too many active jobs, come back later")});
     case SubmitOutcome::kUndecided:
-      return reply(TryLater("the machine types are not known yet"));
+      return reply(ServiceUnavailable("the machine types are not known yet"));
   }
 }
 
-std::optional<core::Cluster::JobView> Leader::Tellable(const std::string& id, const char** why) {
+std::optional<core::Cluster::JobView> Leader::VisibleState(const std::string& id,
+                                                           const char** why) {
   *why = nullptr;
   if (!loaded_) {
     *why = "the leader is loading its records";
@@ -352,26 +358,26 @@
 
 void Leader::SubmitMalformed(const std::string& id, const std::string& error, const Reply& reply) {
   const char* why = nullptr;
-  const auto view = Tellable(id, &why);
+  const auto view = VisibleState(id, &why);
   if (view) return reply({200, 0, wire::JobStatusBody(id, view->phase)});
-  if (why != nullptr) return reply(TryLater(why));
+  if (why != nullptr) return reply(ServiceUnavailable(why));
   reply({400, 0, wire::ErrorBody(error)});
 }
 
 void Leader::Query(const std::string& id, const Reply& reply) {
   const char* why = nullptr;
-  const auto view = Tellable(id, &why);
+  const auto view = VisibleState(id, &why);
   if (view) {
     return reply({200, 0, wire::JobProgressBody(id, view->phase, view->done, view->running)});
   }
-  if (why != nullptr) return reply(TryLater(why));
+  if (why != nullptr) return reply(ServiceUnavailable(why));
   reply({404, 0, wire::ErrorBody("no such job")});
 }
 
 void Leader::Cancel(const std::string& id, Reply reply) {
   const double now = net::SteadyNow();
-  if (!loaded_) return reply(TryLater("the leader is loading its records"));
-  if (!elector_->Valid(now)) return reply(TryLater("the state service does not answer"));
+  if (!loaded_) return reply(ServiceUnavailable("the leader is loading its records"));
+  if (!elector_->Valid(now)) return reply(ServiceUnavailable("the state service does not answer"));
   CancelOutcome outcome{};
   {
     const std::lock_guard lock(scheduler_->mutex);
@@ -383,26 +389,26 @@
     case CancelOutcome::kDone:
       return reply({200, 0, wire::JobStatusBody(id, wire::JobPhase::kDone)});
     case CancelOutcome::kPendingStore:
-      waiters_[id].push_back(
-          {std::move(reply), now + kPatienceShare * wire::kPollPatienceS, false});
+      pending_requests_[id].push_back(
+          {std::move(reply), now + kPatienceShare * wire::kQueryTimeoutS, false});
       return AfterChange();
     case CancelOutcome::kUnknown:
       return reply({404, 0, wire::ErrorBody("no such job")});
     case CancelOutcome::kUndecided:
-      return reply(TryLater("the submission is being recorded"));
+      return reply(ServiceUnavailable("the submission is being recorded"));
   }
 }
 
-net::Response Leader::OnReport(const wire::Report& report) {
+net::Response Leader::OnHeartbeat(const wire::Heartbeat& heartbeat) {
   const double now = net::SteadyNow();
-  if (!Entitled(now)) return TryLater("not entitled to answer workers now");
-  core::Cluster::ReportResult result;
+  if (!MayRenewWorkerLeases(now)) return ServiceUnavailable("not entitled to answer workers now");
+  core::Cluster::HeartbeatResult result;
   {
     const std::lock_guard lock(scheduler_->mutex);
-    result = cluster_->OnReport(report, now, !elector_->Valid(now));
+    result = cluster_->OnHeartbeat(heartbeat, now, !elector_->Valid(now));
   }
   AfterChange();
-  if (result.refuse) return TryLater("a late report");
+  if (result.refuse) return ServiceUnavailable("a late report");
   return {200, 0, wire::CommandsBody(term_, result.commands)};
 }
 
--- a/src/service/leader.h
+++ b/src/service/leader.h
@@ -36,19 +36,19 @@
   std::condition_variable wake;
   core::Cluster* cluster = nullptr;  // guarded by mutex; null: no term, or not loaded yet
   double valid_until = 0;            // guarded by mutex; the leader's lease, as it knows it
-  double sleeps_until = 0;           // guarded by mutex; the scheduler thread's next look
-  bool sooner = false;               // guarded by mutex; it should look before that
+  double next_wake = 0;              // guarded by mutex; the scheduler thread's next look
+  bool wake_requested = false;       // guarded by mutex; it should look before that
   bool stop = false;                 // guarded by mutex
 };
 
-net::Response TryLater(const char* why);
+net::Response ServiceUnavailable(const char* why);
 
 class Leader {
  public:
   Leader(net::EventLoop* loop, const config::Settings& settings,
-         const config::OperatorSettings& tuning, state::StoreClient* store,
+         const config::OperatorSettings& operator_settings, state::StoreClient* store,
          cloud::CloudClient* cloud, election::Elector* elector, SchedulerState* scheduler,
-         uint64_t term, wire::StoreCondition fence, std::function<bool()> isolated);
+         uint64_t term, wire::VersionPrecondition fence, std::function<bool()> isolated);
   ~Leader();
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
@@ -60,10 +60,10 @@
   void Query(const std::string& id, const Reply& reply);
   void Cancel(const std::string& id, Reply reply);
 
-  net::Response OnReport(const wire::Report& report);
-  void Apply(const core::Effects& effects);
+  net::Response OnHeartbeat(const wire::Heartbeat& heartbeat);
+  void Apply(const core::CloudActions& cloud_actions);
   // A peer has shown that it knows this term; it leads no earlier one then, nor will it again.
-  void OnPeerKnows(const std::string& peer);
+  void OnPeerAcknowledgedTerm(const std::string& peer);
 
   // What followers may forward to this leader; nullopt if admission sets them no limit.
   std::optional<wire::CreditGrant> MakeCreditGrant();
@@ -72,7 +72,7 @@
   uint64_t term() const { return term_; }
 
  private:
-  struct Waiter {
+  struct PendingRequest {
     Reply reply;
     double until = 0;
     bool submission = false;
@@ -84,26 +84,26 @@
   void PollCloud(double now);
   void AfterChange();
   void OnStored();
-  void AnswerWaiters(const std::string& id);
+  void CompletePendingRequests(const std::string& id);
   // What may be told of the job now, or why the user must come back. Neither: it is not known.
-  std::optional<core::Cluster::JobView> Tellable(const std::string& id, const char** why);
-  bool Entitled(double now) const;
+  std::optional<core::Cluster::JobView> VisibleState(const std::string& id, const char** why);
+  bool MayRenewWorkerLeases(double now) const;
 
   net::EventLoop* loop_;
   const config::Settings& settings_;
-  const config::OperatorSettings& tuning_;
+  const config::OperatorSettings& operator_settings_;
   state::StoreClient* store_;
   cloud::CloudClient* cloud_;
   election::Elector* elector_;
   SchedulerState* scheduler_;
   const uint64_t term_;
-  const wire::StoreCondition fence_;
+  const wire::VersionPrecondition fence_;
   const std::function<bool()> isolated_;    // this node has lost the state service and all peers
   std::unique_ptr<core::Cluster> cluster_;  // guarded by scheduler_->mutex once loaded
   std::unique_ptr<state::Committer> committer_;
   std::unordered_map<std::string, uint64_t> versions_;
-  std::unordered_map<std::string, std::vector<Waiter>> waiters_;
-  std::set<std::string> peers_knowing_;
+  std::unordered_map<std::string, std::vector<PendingRequest>> pending_requests_;
+  std::set<std::string> peers_acknowledging_term_;
   bool loaded_ = false;
   double load_started_ = 0;
   size_t records_ = 0;
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -41,17 +41,18 @@
 
 }  // namespace
 
-Node::Node(config::Settings settings, config::OperatorSettings tuning)
+Node::Node(config::Settings settings, config::OperatorSettings operator_settings)
     : settings_(std::move(settings)),
-      tuning_(std::move(tuning)),
+      operator_settings_(std::move(operator_settings)),
       store_(&loop_, settings_),
       cloud_(&loop_, settings_),
       election_timers_(&loop_),
-      elector_(
-          &election_timers_, &store_, settings_, tuning_,
-          {[this](uint64_t term, const wire::StoreCondition& fence) { OnElected(term, fence); },
-           [this] { OnLost(); }}),
-      admission_limits_(admission::DeriveLimits(settings_, tuning_)),
+      elector_(&election_timers_, &store_, settings_, operator_settings_,
+               {[this](uint64_t term, const wire::VersionPrecondition& fence) {
+                  OnElected(term, fence);
+                },
+                [this] { OnLeadershipLost(); }}),
+      admission_limits_(admission::DeriveLimits(settings_, operator_settings_)),
       credit_gate_(admission_limits_, kGrantPings * elector_.lease_s() / kPingsPerLease,
                    std::random_device()()) {
   loop_.LimitSlice(
@@ -59,7 +60,7 @@
   const size_t connections =
       settings_.PoolSize(kPeerSocketShare / static_cast<double>(settings_.NodeCount()), 2);
   for (const config::Peer& peer : settings_.peers) {
-    links_.Add(peer.node);
+    peer_failure_detector_.Add(peer.node);
     peers_[peer.node].client =
         std::make_unique<net::HttpClient>(&loop_, peer.address.host, peer.address.port, connections,
                                           kPeerQueue, 8 * wire::kMaxBody, net::Urgency::kUrgent);
@@ -80,10 +81,10 @@
   limits.max_kept = static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
   // A node that answers its peers late is taken for lost.
   limits.urgency = net::Urgency::kUrgent;
-  back_server_ = std::make_unique<net::HttpServer>(
-      &loop_, settings_.back.host, settings_.back.port, limits,
+  peer_server_ = std::make_unique<net::HttpServer>(
+      &loop_, settings_.peer_listen.host, settings_.peer_listen.port, limits,
       [this](const net::ServerRequest& request, const net::ResponderPtr& responder) {
-        OnBack(request, responder);
+        OnPeerRequest(request, responder);
       });
 }
 
@@ -108,15 +109,16 @@
   std::unique_lock lock(scheduler_.mutex);
   while (!scheduler_.stop) {
     const double now = net::SteadyNow();
-    double wait = settings_.report_s;
+    double wait = settings_.heartbeat_interval_s;
     if (scheduler_.cluster != nullptr) {
       if (scheduler_.cluster->NextWake() <= now) {
-        core::Effects effects = scheduler_.cluster->Schedule(now, now >= scheduler_.valid_until);
+        core::CloudActions cloud_actions =
+            scheduler_.cluster->Schedule(now, now >= scheduler_.valid_until);
         const uint64_t term = scheduler_.cluster->term();
-        if (!effects.empty() || scheduler_.cluster->HasDirty()) {
+        if (!cloud_actions.empty() || scheduler_.cluster->HasQueuedRecords()) {
           lock.unlock();
-          loop_.Post([this, term, effects = std::move(effects)] {
-            if (leader_ != nullptr && leader_->term() == term) leader_->Apply(effects);
+          loop_.Post([this, term, cloud_actions = std::move(cloud_actions)] {
+            if (leader_ != nullptr && leader_->term() == term) leader_->Apply(cloud_actions);
           });
           lock.lock();
         }
@@ -124,21 +126,21 @@
       }
       wait = scheduler_.cluster->NextWake() - now;
     }
-    scheduler_.sleeps_until = now + wait;
-    scheduler_.sooner = false;
+    scheduler_.next_wake = now + wait;
+    scheduler_.wake_requested = false;
     scheduler_.wake.wait_for(lock, std::chrono::duration<double>(wait),
-                             [this] { return scheduler_.sooner || scheduler_.stop; });
+                             [this] { return scheduler_.wake_requested || scheduler_.stop; });
   }
 }
 
-void Node::OnElected(uint64_t term, const wire::StoreCondition& fence) {
-  leader_ =
-      std::make_unique<Leader>(&loop_, settings_, tuning_, &store_, &cloud_, &elector_, &scheduler_,
-                               term, fence, [this] { return Isolated(StandingNow()); });
+void Node::OnElected(uint64_t term, const wire::VersionPrecondition& fence) {
+  leader_ = std::make_unique<Leader>(&loop_, settings_, operator_settings_, &store_, &cloud_,
+                                     &elector_, &scheduler_, term, fence,
+                                     [this] { return Isolated(CurrentHealth()); });
   PingPeers();
 }
 
-void Node::OnLost() { leader_.reset(); }
+void Node::OnLeadershipLost() { leader_.reset(); }
 
 // A leader that lost the state service, and only that, hears of its successor from the successor.
 // And each node sees whether it can reach the others.
@@ -146,26 +148,27 @@
   loop_.StartTimer(
       &peer_timer_, elector_.lease_s() / kPingsPerLease, [this] { PingPeers(); },
       net::Urgency::kUrgent);
-  const std::string body = Notice(leader_ == nullptr ? std::nullopt : leader_->MakeCreditGrant());
+  const std::string body =
+      MakeAnnouncement(leader_ == nullptr ? std::nullopt : leader_->MakeCreditGrant());
   for (auto& [name, peer] : peers_) {
     if (std::exchange(peer.pinged, true)) continue;
     CallPeer(name, wire::kPeerLeaderPath, body, elector_.lease_s(),
              [this, name = name, raw = &peer](const net::Response& response) {
                raw->pinged = false;
                if (response.status != 200) return;
-               const auto answer = wire::ParseLeaderNotice(response.body);
+               const auto answer = wire::ParseLeaderAnnouncement(response.body);
                if (!answer) return;
-               elector_.OnLeaderNotice(answer->node, answer->term);
+               elector_.OnLeaderAnnouncement(answer->node, answer->term);
                if (leader_ != nullptr && answer->term >= leader_->term()) {
-                 leader_->OnPeerKnows(name);
+                 leader_->OnPeerAcknowledgedTerm(name);
                }
              });
   }
 }
 
-std::string Node::Notice(std::optional<wire::CreditGrant> credits) const {
-  return ToJson(wire::LeaderNotice{elector_.leading() ? settings_.node : std::string(),
-                                   elector_.leader_term(), std::move(credits)})
+std::string Node::MakeAnnouncement(std::optional<wire::CreditGrant> credits) const {
+  return ToJson(wire::LeaderAnnouncement{elector_.leading() ? settings_.node : std::string(),
+                                         elector_.leader_term(), std::move(credits)})
       .dump();
 }
 
@@ -176,54 +179,57 @@
       "POST", std::string(path), std::move(body), timeout_s,
       [this, name, began, timeout_s, done = std::move(done)](net::Response response) {
         if (response.status == 0) {
-          links_.OnFailure(name, began, net::SteadyNow() - began >= kSilentShare * timeout_s);
+          peer_failure_detector_.OnFailure(name, began,
+                                           net::SteadyNow() - began >= kSilentShare * timeout_s);
         } else {
-          links_.OnAnswer(name);
+          peer_failure_detector_.OnAnswer(name);
         }
         done(std::move(response));
       });
 }
 
-Standing Node::StandingNow() const {
+NodeHealth Node::CurrentHealth() const {
   const double now = net::SteadyNow();
   const double lease_s = elector_.lease_s();
-  Standing standing;
-  standing.leading = leader_ != nullptr;
-  standing.lease_valid = elector_.Valid(now);
-  standing.leader_known = peers_.contains(elector_.leader());
+  NodeHealth health;
+  health.leading = leader_ != nullptr;
+  health.lease_valid = elector_.Valid(now);
+  health.leader_known = peers_.contains(elector_.leader());
   // By then a leader that ended has a successor, and that would be known.
-  standing.leader_unreachable =
-      standing.leader_known && links_.Unreachable(elector_.leader(), now, kSilentLeases * lease_s);
+  health.leader_unreachable =
+      health.leader_known &&
+      peer_failure_detector_.Unreachable(elector_.leader(), now, kSilentLeases * lease_s);
   // A watch is open for two leases.
-  standing.store_seen = now - elector_.store_seen_at() < kLostLeases * lease_s;
-  standing.peers_silent = links_.AllSilent(now, kSilentLeases * lease_s);
-  return standing;
+  health.store_reachable = now - elector_.store_contact_at() < kLostLeases * lease_s;
+  health.peers_silent = peer_failure_detector_.AllSilent(now, kSilentLeases * lease_s);
+  return health;
 }
 
 void Node::OnPublic(const net::ServerRequest& request, const net::ResponderPtr& responder) {
   const Reply reply = [responder](const net::Response& response) { responder->Send(response); };
   if (request.path == wire::kHealthPath) {
     if (request.method != "GET") return reply(WrongMethod());
-    if (!Healthy(StandingNow())) return reply(TryLater("this node can't serve now"));
+    if (!Healthy(CurrentHealth())) return reply(ServiceUnavailable("this node can't serve now"));
     return reply({200, 0, "{}"});
   }
-  if (request.path == wire::kReportPath) {
+  if (request.path == wire::kHeartbeatPath) {
     if (request.method != "POST") return reply(WrongMethod());
-    return Report(request.body, false, reply);
+    return HandleHeartbeat(request.body, false, reply);
   }
-  User(request.method, request.path, request.body, false, reply);
+  HandleUserRequest(request.method, request.path, request.body, false, reply);
 }
 
-void Node::OnBack(const net::ServerRequest& request, const net::ResponderPtr& responder) {
+void Node::OnPeerRequest(const net::ServerRequest& request, const net::ResponderPtr& responder) {
   if (request.method != "POST") return responder->Send(WrongMethod());
   if (request.path == wire::kPeerLeaderPath) {
-    const auto notice = wire::ParseLeaderNotice(request.body);
-    if (!notice) return responder->Send(BadRequest("malformed notice"));
-    elector_.OnLeaderNotice(notice->node, notice->term);
-    if (!notice->node.empty()) {
-      credit_gate_.OnLeaderNotice(notice->term, notice->credits, net::SteadyNow());
+    const auto announcement = wire::ParseLeaderAnnouncement(request.body);
+    if (!announcement) return responder->Send(BadRequest("malformed notice"));
+    elector_.OnLeaderAnnouncement(announcement->node, announcement->term);
+    if (!announcement->node.empty()) {
+      credit_gate_.OnLeaderAnnouncement(announcement->term, announcement->credits,
+                                        net::SteadyNow());
     }
-    return responder->Send({200, 0, Notice()});
+    return responder->Send({200, 0, MakeAnnouncement()});
   }
   if (request.path != wire::kPeerForwardPath) return responder->Send(NotFound());
   const auto call = wire::ParseForwardedRequest(request.body);
@@ -235,12 +241,12 @@
                                                     response.body, elector_.leader_term()})
                          .dump()});
   };
-  if (call->path == wire::kReportPath) return Report(call->body, true, reply);
-  User(call->method, call->path, call->body, true, reply);
+  if (call->path == wire::kHeartbeatPath) return HandleHeartbeat(call->body, true, reply);
+  HandleUserRequest(call->method, call->path, call->body, true, reply);
 }
 
-void Node::User(const std::string& method, const std::string& path, const std::string& body,
-                bool forwarded, const Reply& reply) {
+void Node::HandleUserRequest(const std::string& method, const std::string& path,
+                             const std::string& body, bool forwarded, const Reply& reply) {
   if (path == wire::kJobsPath) {
     if (method != "POST") return reply(WrongMethod());
     std::string error;
@@ -259,7 +265,7 @@
     } else if (leader_ != nullptr) {
       return leader_->Submit(*spec, reply);
     }
-    if (forwarded) return reply(TryLater("not the leader"));
+    if (forwarded) return reply(ServiceUnavailable("not the leader"));
     admission::Request request;
     if (spec) {
       request = {spec->id, spec->team, admission::TierOf(spec->priority),
@@ -282,76 +288,77 @@
   if (leader_ != nullptr) {
     return cancel ? leader_->Cancel(id, reply) : leader_->Query(id, reply);
   }
-  if (forwarded) return reply(TryLater("not the leader"));
-  Forward(method, path, "", kForwardShare * wire::kPollPatienceS, reply);
+  if (forwarded) return reply(ServiceUnavailable("not the leader"));
+  Forward(method, path, "", kForwardShare * wire::kQueryTimeoutS, reply);
 }
 
 void Node::ForwardSubmission(const admission::Request& request, const std::string& body,
                              const Reply& reply) {
-  const auto verdict = credit_gate_.Ask(request, net::SteadyNow());
+  const auto verdict = credit_gate_.Decide(request, net::SteadyNow());
   if (!verdict.forward) {
     return reply({429, verdict.retry_after_s, wire::ErrorBody("more is asked than can be taken")});
   }
-  Forward("POST", std::string(wire::kJobsPath), body, kForwardShare * wire::kSubmitPatienceS,
+  Forward("POST", std::string(wire::kJobsPath), body, kForwardShare * wire::kSubmitTimeoutS,
           [this, id = request.id, reply](net::Response response) {
             if (response.status == 429) {
               credit_gate_.OnRefused(id, response.retry_after_s, net::SteadyNow());
             } else if (response.status == 503) {
-              response.retry_after_s = credit_gate_.DrawRetryWithoutLeader();
+              response.retry_after_s = credit_gate_.RandomRetryWithoutLeader();
             }
             reply(std::move(response));
           });
 }
 
-void Node::Report(const std::string& body, bool forwarded, const Reply& reply) {
+void Node::HandleHeartbeat(const std::string& body, bool forwarded, const Reply& reply) {
   std::string error;
   spdlog::debug("report: {}", body);
-  const auto report = wire::ParseReport(body, &error);
-  if (!report) {
-    ++bad_reports_;
-    spdlog::error("malformed report ({} so far): {}", bad_reports_, error);
+  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  if (!heartbeat) {
+    ++malformed_heartbeats_;
+    spdlog::error("malformed report ({} so far): {}", malformed_heartbeats_, error);
     return reply(BadRequest(error));
   }
   if (leader_ != nullptr) {
     // A worker that has seen a higher term has heard of a newer leader before we did.
-    elector_.OnTermSeen(report->token);
+    elector_.OnTermSeen(heartbeat->fencing_token);
   }
   if (leader_ != nullptr) {
-    net::Response response = leader_->OnReport(*report);
+    net::Response response = leader_->OnHeartbeat(*heartbeat);
     spdlog::debug("answer: {}", response.body);
     return reply(std::move(response));
   }
-  if (forwarded) return reply(TryLater("not the leader"));
+  if (forwarded) return reply(ServiceUnavailable("not the leader"));
   const std::string& leader = elector_.leader();
-  if (leader.empty() || !peers_.contains(leader)) return reply(TryLater("no leader"));
+  if (leader.empty() || !peers_.contains(leader)) return reply(ServiceUnavailable("no leader"));
   // What it knows of the leader may be long out of date.
-  if (Isolated(StandingNow())) return reply(TryLater("this node is cut off"));
+  if (Isolated(CurrentHealth())) return reply(ServiceUnavailable("this node is cut off"));
   const double now = net::SteadyNow();
-  const auto it = pointed_.find(report->machine);
-  if (it != pointed_.end() && it->second > now) {
+  const auto it = redirected_workers_.find(heartbeat->machine);
+  if (it != redirected_workers_.end() && it->second > now) {
     // It was pointed to the leader and came back: it can't reach it, but we may.
     it->second = now + settings_.lease_s;
-    return Forward("POST", std::string(wire::kReportPath), body,
-                   kForwardShare * wire::kReportPatienceS, reply);
+    return Forward("POST", std::string(wire::kHeartbeatPath), body,
+                   kForwardShare * wire::kHeartbeatTimeoutS, reply);
   }
-  if (pointed_.size() > 10'000) pointed_.clear();
-  pointed_[report->machine] = now + settings_.lease_s;
-  reply({421, 0, wire::ReportToBody(leader)});
+  if (redirected_workers_.size() > 10'000) redirected_workers_.clear();
+  redirected_workers_[heartbeat->machine] = now + settings_.lease_s;
+  reply({421, 0, wire::RedirectBody(leader)});
 }
 
 void Node::Forward(const std::string& method, const std::string& path, const std::string& body,
                    double timeout_s, const Reply& reply) {
   const auto peer = peers_.find(elector_.leader());
-  if (peer == peers_.end()) return reply(TryLater("no leader"));
+  if (peer == peers_.end()) return reply(ServiceUnavailable("no leader"));
   CallPeer(peer->first, wire::kPeerForwardPath,
            ToJson(wire::ForwardedRequest{method, path, body, elector_.leader_term()})
                .dump(-1, ' ', false, wire::Json::error_handler_t::replace),
            timeout_s, [this, reply](const net::Response& response) {
-             if (response.status != 200) return reply(TryLater("the leader does not answer"));
+             if (response.status != 200)
+               return reply(ServiceUnavailable("the leader does not answer"));
              const auto answer = wire::ParseForwardedResponse(response.body);
              if (!answer) {
                spdlog::error("malformed answer of a peer");
-               return reply(TryLater("the leader's answer is malformed"));
+               return reply(ServiceUnavailable("the leader's answer is malformed"));
              }
              elector_.OnTermSeen(answer->term);
              reply({answer->status, answer->retry_after_s, answer->body});
--- a/src/service/node.h
+++ b/src/service/node.h
@@ -19,14 +19,14 @@
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "service/leader.h"
-#include "service/peer_links.h"
+#include "service/peer_failure_detector.h"
 #include "state/store_client.h"
 
 namespace zinclead::service {
 
 class Node {
  public:
-  Node(config::Settings settings, config::OperatorSettings tuning);
+  Node(config::Settings settings, config::OperatorSettings operator_settings);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -40,29 +40,29 @@
   };
 
   void OnPublic(const net::ServerRequest& request, const net::ResponderPtr& responder);
-  void OnBack(const net::ServerRequest& request, const net::ResponderPtr& responder);
+  void OnPeerRequest(const net::ServerRequest& request, const net::ResponderPtr& responder);
   // A user's call, checked for form here and answered here or by the leader.
-  void User(const std::string& method, const std::string& path, const std::string& body,
-            bool forwarded, const Reply& reply);
+  void HandleUserRequest(const std::string& method, const std::string& path,
+                         const std::string& body, bool forwarded, const Reply& reply);
   // A submission that reached a follower: forwarded if admission lets it, else refused at once.
   void ForwardSubmission(const admission::Request& request, const std::string& body,
                          const Reply& reply);
-  void Report(const std::string& body, bool forwarded, const Reply& reply);
+  void HandleHeartbeat(const std::string& body, bool forwarded, const Reply& reply);
   void Forward(const std::string& method, const std::string& path, const std::string& body,
                double timeout_s, const Reply& reply);
   void PingPeers();
   // What it tells peers of who leads.
-  std::string Notice(std::optional<wire::CreditGrant> credits = std::nullopt) const;
+  std::string MakeAnnouncement(std::optional<wire::CreditGrant> credits = std::nullopt) const;
   // Calls a peer and takes down what its answer, or its silence, says of it.
   void CallPeer(const std::string& name, std::string_view path, std::string body, double timeout_s,
                 net::HttpClient::Callback done);
-  Standing StandingNow() const;
-  void OnElected(uint64_t term, const wire::StoreCondition& fence);
-  void OnLost();
+  NodeHealth CurrentHealth() const;
+  void OnElected(uint64_t term, const wire::VersionPrecondition& fence);
+  void OnLeadershipLost();
   void SchedulerThread();
 
   const config::Settings settings_;
-  const config::OperatorSettings tuning_;
+  const config::OperatorSettings operator_settings_;
   net::EventLoop loop_;
   state::StoreClient store_;
   cloud::CloudClient cloud_;
@@ -71,15 +71,15 @@
   SchedulerState scheduler_;
   std::unique_ptr<Leader> leader_;
   std::map<std::string, Peer> peers_;
-  PeerLinks links_;
+  PeerFailureDetector peer_failure_detector_;
   const admission::Limits admission_limits_;
   admission::CreditGate credit_gate_;
   // Workers that were pointed to the leader and until when they are handed on instead if they come
   // back: they can't reach it.
-  std::unordered_map<std::string, double> pointed_;
-  uint64_t bad_reports_ = 0;
+  std::unordered_map<std::string, double> redirected_workers_;
+  uint64_t malformed_heartbeats_ = 0;
   std::unique_ptr<net::HttpServer> public_server_;
-  std::unique_ptr<net::HttpServer> back_server_;
+  std::unique_ptr<net::HttpServer> peer_server_;
   net::EventLoop::Timer peer_timer_;
   std::thread scheduler_thread_;
 };
--- a/src/state/committer.cc
+++ b/src/state/committer.cc
@@ -9,18 +9,18 @@
 namespace {
 
 // Retry intervals for which a record that was called malformed is left alone.
-constexpr double kRefusedRetries = 50;
+constexpr double kRejectedRecordRetries = 50;
 
 }  // namespace
 
 Committer::Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
-                     std::mutex* mutex, core::Cluster* cluster, wire::StoreCondition fence,
+                     std::mutex* mutex, core::Cluster* cluster, wire::VersionPrecondition fence,
                      std::unordered_map<std::string, uint64_t> versions, Hooks hooks)
     : loop_(loop),
       store_(store),
       most_ops_(static_cast<size_t>(settings.state_txn_ops)),
       max_ops_(most_ops_),
-      retry_s_(settings.report_s / 10),
+      retry_s_(settings.heartbeat_interval_s / 10),
       mutex_(mutex),
       cluster_(cluster),
       fence_(std::move(fence)),
@@ -38,19 +38,19 @@
   loop_->StartTimer(&timer_, delay_s, std::move(task));
 }
 
-void Committer::Kick() {
+void Committer::Flush() {
   if (batch_ != nullptr || timer_.pending()) return;
-  if (Compose()) Send();
+  if (BuildBatch()) Send();
 }
 
-bool Committer::Compose() {
+bool Committer::BuildBatch() {
   const std::lock_guard lock(*mutex_);
-  if (!cluster_->HasDirty()) return false;
-  const core::Importance importance = cluster_->DirtyImportance();
+  if (!cluster_->HasQueuedRecords()) return false;
+  const core::Importance importance = cluster_->QueuedImportance();
   // A full transaction's worth of write tokens at once keeps the transactions few and full.
   const double wait = store_->write_tokens().Wait(net::SteadyNow(), 1, importance);
   if (wait > 0) {
-    Later(wait, [this] { Kick(); });
+    Later(wait, [this] { Flush(); });
     return false;
   }
   auto batch = std::make_unique<Batch>();
@@ -58,16 +58,16 @@
   // Half of what a transaction may hold altogether leaves room for keys, conditions and syntax.
   size_t room = wire::kMaxBody / 2;
   const double now = net::SteadyNow();
-  std::erase_if(refused_until_, [&](const auto& entry) { return entry.second <= now; });
-  for (const std::string& key : cluster_->TakeDirty(max_ops_ + refused_until_.size())) {
-    if (refused_until_.contains(key) || batch->writes.size() == max_ops_) {
-      cluster_->OnNotStored(key);
+  std::erase_if(rejected_until_, [&](const auto& entry) { return entry.second <= now; });
+  for (const std::string& key : cluster_->DequeueRecords(max_ops_ + rejected_until_.size())) {
+    if (rejected_until_.contains(key) || batch->writes.size() == max_ops_) {
+      cluster_->Requeue(key);
       continue;
     }
-    std::optional<wire::Json> value = cluster_->Render(key);
+    std::optional<wire::Json> value = cluster_->Serialize(key);
     const size_t size = value ? value->dump().size() : 0;
     if (size > room && !batch->writes.empty()) {
-      cluster_->OnNotStored(key);
+      cluster_->Requeue(key);
       continue;
     }
     room -= std::min(room, size);
@@ -76,14 +76,14 @@
       continue;
     }
     if (!store_->write_tokens().Take(net::SteadyNow(), 1, cluster_->ImportanceOf(key))) {
-      cluster_->OnNotStored(key);
+      cluster_->Requeue(key);
       continue;
     }
-    if (!value && may_come_back_.contains(key)) value = core::EmptiedRecord();
+    if (!value && possibly_resurrected_.contains(key)) value = core::EmptiedRecord();
     batch->writes.push_back({key, std::move(value), std::nullopt});
   }
   if (batch->writes.empty()) {
-    if (!refused_until_.empty()) Later(retry_s_, [this] { Kick(); });
+    if (!rejected_until_.empty()) Later(retry_s_, [this] { Flush(); });
     return false;
   }
   batch_ = std::move(batch);
@@ -91,7 +91,7 @@
 }
 
 void Committer::Send() {
-  std::vector<wire::StoreCondition> conditions{fence_};
+  std::vector<wire::VersionPrecondition> conditions{fence_};
   for (const wire::StoreWrite& write : batch_->writes) {
     conditions.push_back({write.key, VersionOf(write.key)});
   }
@@ -124,15 +124,15 @@
       // It may have been executed or may be later. The same transaction again is safe, and its
       // answer, or what is read back, decides.
       spdlog::info("commit of {} records got no answer, repeating", batch_->writes.size());
-      batch_->in_doubt = true;
+      batch_->outcome_unknown = true;
       for (const wire::StoreWrite& write : batch_->writes) {
-        if (VersionOf(write.key) == 0) may_come_back_.insert(write.key);
+        if (VersionOf(write.key) == 0) possibly_resurrected_.insert(write.key);
       }
       return Later(retry_s_, [this] { Send(); });
     case Outcome::kRejected:
-      if (batch_->in_doubt) return Later(retry_s_, [this] { Send(); });
-      GiveBack();
-      return Later(retry_s_, [this] { Kick(); });
+      if (batch_->outcome_unknown) return Later(retry_s_, [this] { Send(); });
+      RequeueBatch();
+      return Later(retry_s_, [this] { Flush(); });
     default:
       return OnMalformed();
   }
@@ -148,11 +148,12 @@
     max_ops_ = (count + 1) / 2;
   } else {
     spdlog::error("record {} refused as malformed", batch_->writes.front().key);
-    refused_until_[batch_->writes.front().key] = net::SteadyNow() + kRefusedRetries * retry_s_;
+    rejected_until_[batch_->writes.front().key] =
+        net::SteadyNow() + kRejectedRecordRetries * retry_s_;
     max_ops_ = most_ops_;
   }
-  GiveBack();
-  Later(retry_s_, [this] { Kick(); });
+  RequeueBatch();
+  Later(retry_s_, [this] { Flush(); });
 }
 
 void Committer::Stored(const std::unordered_map<std::string, uint64_t>& versions) {
@@ -171,12 +172,12 @@
   batch_.reset();
   const auto alive = alive_;
   hooks_.on_stored();
-  if (*alive) Kick();
+  if (*alive) Flush();
 }
 
-void Committer::GiveBack() {
+void Committer::RequeueBatch() {
   const std::lock_guard lock(*mutex_);
-  for (const wire::StoreWrite& write : batch_->writes) cluster_->OnNotStored(write.key);
+  for (const wire::StoreWrite& write : batch_->writes) cluster_->Requeue(write.key);
   batch_.reset();
 }
 
@@ -204,8 +205,8 @@
                   } else {
                     // Not executed, and with these versions it never will be: write anew.
                     for (const auto& [k, version] : read_versions_) versions_[k] = version;
-                    GiveBack();
-                    Kick();
+                    RequeueBatch();
+                    Flush();
                   }
                 });
   }
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -30,25 +30,25 @@
   };
   // `mutex` guards `cluster`. Both must outlive the committer.
   Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
-            std::mutex* mutex, core::Cluster* cluster, wire::StoreCondition fence,
+            std::mutex* mutex, core::Cluster* cluster, wire::VersionPrecondition fence,
             std::unordered_map<std::string, uint64_t> versions, Hooks hooks);
   ~Committer();
 
   // Starts a transaction if there is something to write and none is under way.
-  void Kick();
+  void Flush();
 
  private:
   struct Batch {
     core::Importance importance = core::Importance::kNormal;
     std::vector<wire::StoreWrite> writes;
-    bool in_doubt = false;  // some copy of it may have been executed, or may still be
+    bool outcome_unknown = false;  // some copy of it may have been executed, or may still be
   };
-  bool Compose();
+  bool BuildBatch();
   void Send();
   void OnMalformed();
   void OnAnswer(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed);
   void Stored(const std::unordered_map<std::string, uint64_t>& versions);
-  void GiveBack();
+  void RequeueBatch();
   void ReadBack();
   void Later(double delay_s, std::function<void()> task);
   uint64_t VersionOf(const std::string& key) const;
@@ -60,15 +60,15 @@
   const double retry_s_;
   std::mutex* mutex_;
   core::Cluster* cluster_;
-  const wire::StoreCondition fence_;
+  const wire::VersionPrecondition fence_;
   std::unordered_map<std::string, uint64_t> versions_;
   Hooks hooks_;
   std::unique_ptr<Batch> batch_;  // the transaction under way
   // Records that the service called malformed by themselves, and until when they are left alone:
   // they must not keep the others waiting.
-  std::unordered_map<std::string, double> refused_until_;
+  std::unordered_map<std::string, double> rejected_until_;
   // Created by transactions that were in doubt.
-  std::unordered_set<std::string> may_come_back_;
+  std::unordered_set<std::string> possibly_resurrected_;
   // Read-back of a batch in doubt.
   size_t reading_ = 0;
   bool all_equal_ = false;
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -45,7 +45,7 @@
       tokens_(settings.state_rps / static_cast<double>(settings.NodeCount()),
               settings.state_rps / static_cast<double>(settings.NodeCount())),
       write_tokens_(settings.state_write_rps * 0.9, settings.state_write_rps * 0.9),
-      timeout_s_(std::clamp(settings.report_s / 2, 0.5, 2.0)) {}
+      timeout_s_(std::clamp(settings.heartbeat_interval_s / 2, 0.5, 2.0)) {}
 
 void StoreClient::Malformed(const char* what) {
   ++malformed_;
@@ -101,10 +101,10 @@
        });
 }
 
-void StoreClient::Commit(const std::vector<wire::StoreCondition>& conditions,
+void StoreClient::Commit(const std::vector<wire::VersionPrecondition>& conditions,
                          const std::vector<wire::StoreWrite>& writes, core::Importance importance,
                          CommitDone done) {
-  Call("POST", std::string(wire::kTransactionPath), wire::TransactionBody(conditions, writes),
+  Call("POST", std::string(wire::kCompareAndSwapPath), wire::CompareAndSwapBody(conditions, writes),
        timeout_s_, importance,
        [this, done = std::move(done)](Outcome outcome, const net::Response& response) {
          if (response.status == 429) write_tokens_.Drain(net::SteadyNow());
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -35,7 +35,7 @@
 
   using CommitDone =
       std::function<void(Outcome, uint64_t revision, std::vector<std::string> failed)>;
-  virtual void Commit(const std::vector<wire::StoreCondition>& conditions,
+  virtual void Commit(const std::vector<wire::VersionPrecondition>& conditions,
                       const std::vector<wire::StoreWrite>& writes, core::Importance importance,
                       CommitDone done) = 0;
 
@@ -59,7 +59,7 @@
   void List(const std::string& prefix, const std::string& after, core::Importance importance,
             ListDone done);
 
-  void Commit(const std::vector<wire::StoreCondition>& conditions,
+  void Commit(const std::vector<wire::VersionPrecondition>& conditions,
               const std::vector<wire::StoreWrite>& writes, core::Importance importance,
               CommitDone done) override;
   void Grant(double ttl_s, LeaseDone done) override;
--- a/src/wire/report_reader.cc
+++ b/src/wire/heartbeat_reader.cc
@@ -1,4 +1,4 @@
-#include "wire/report_reader.h"
+#include "wire/heartbeat_reader.h"
 
 #include <cmath>
 #include <utility>
@@ -13,62 +13,62 @@
 
 }  // namespace
 
-struct ReportReader::FieldName {
+struct HeartbeatReader::FieldName {
   Field field;
   const char* name;
-  Place place;
+  PlaceTask place;
   bool required;
 };
 
-ReportReader::Field ReportReader::FindField(Place place, const std::string& name) {
+HeartbeatReader::Field HeartbeatReader::FindField(PlaceTask place, const std::string& name) {
   for (const FieldName& known : Names()) {
     if (known.place == place && name == known.name) return known.field;
   }
   return Field::kUnknown;
 }
 
-const char* ReportReader::NameOf(Field field) {
+const char* HeartbeatReader::NameOf(Field field) {
   for (const FieldName& known : Names()) {
     if (known.field == field) return known.name;
   }
   return "";
 }
 
-const std::array<ReportReader::FieldName, 15>& ReportReader::Names() {
+const std::array<HeartbeatReader::FieldName, 15>& HeartbeatReader::Names() {
   static constexpr std::array<FieldName, 15> kNames{{
-      {Field::kMachine, "anvil", Place::kReport, true},
-      {Field::kAddress, "address", Place::kReport, true},
-      {Field::kType, "alloy", Place::kReport, true},
-      {Field::kZone, "yard", Place::kReport, true},
-      {Field::kSpot, "scrap", Place::kReport, true},
-      {Field::kSession, "heat", Place::kReport, true},
-      {Field::kSeq, "tally", Place::kReport, true},
-      {Field::kToken, "mandate", Place::kReport, true},
-      {Field::kNotice, "recallS", Place::kReport, false},
-      {Field::kTasks, "shards", Place::kReport, true},
-      {Field::kTaskName, "shard", Place::kTask, true},
-      {Field::kAttempt, "strike", Place::kTask, true},
-      {Field::kPhase, "phase", Place::kTask, true},
-      {Field::kCause, "cause", Place::kTask, false},
-      {Field::kSaved, "kept", Place::kTask, false},
+      {Field::kMachine, "anvil", PlaceTask::kReport, true},
+      {Field::kAddress, "address", PlaceTask::kReport, true},
+      {Field::kType, "alloy", PlaceTask::kReport, true},
+      {Field::kZone, "yard", PlaceTask::kReport, true},
+      {Field::kSpot, "scrap", PlaceTask::kReport, true},
+      {Field::kSession, "heat", PlaceTask::kReport, true},
+      {Field::kSeq, "tally", PlaceTask::kReport, true},
+      {Field::kToken, "mandate", PlaceTask::kReport, true},
+      {Field::kNotice, "recallS", PlaceTask::kReport, false},
+      {Field::kTasks, "shards", PlaceTask::kReport, true},
+      {Field::kTaskName, "shard", PlaceTask::kTask, true},
+      {Field::kAttempt, "strike", PlaceTask::kTask, true},
+      {Field::kPhase, "phase", PlaceTask::kTask, true},
+      {Field::kCause, "cause", PlaceTask::kTask, false},
+      {Field::kSaved, "kept", PlaceTask::kTask, false},
   }};
   return kNames;
 }
 
-bool ReportReader::FailText(std::string what) {
+bool HeartbeatReader::FailText(std::string what) {
   if (error_.empty()) error_ = std::move(what);
   return false;
 }
 
-bool ReportReader::Fail(Field field, const char* what) {
-  const std::string in = place_ == Place::kTask ? "shards: " : "";
+bool HeartbeatReader::Fail(Field field, const char* what) {
+  const std::string in = place_ == PlaceTask::kTask ? "shards: " : "";
   return FailText(in + NameOf(field) + " " + what);
 }
 
 // ---------------------------------------------------------------------------------------------
 // Values
 
-bool ReportReader::WrongType() {
+bool HeartbeatReader::WrongType() {
   switch (field_) {
     case Field::kUnknown:
     case Field::kSaved:
@@ -92,20 +92,20 @@
   }
 }
 
-bool ReportReader::SetText(std::string* value) {
+bool HeartbeatReader::SetText(std::string* value) {
   std::string* target = nullptr;
   switch (field_) {
     case Field::kMachine:
-      target = &report_.machine;
+      target = &heartbeat_.machine;
       break;
     case Field::kAddress:
-      target = &report_.address;
+      target = &heartbeat_.address;
       break;
     case Field::kType:
-      target = &report_.type;
+      target = &heartbeat_.type;
       break;
     case Field::kZone:
-      target = &report_.zone;
+      target = &heartbeat_.zone;
       break;
     case Field::kTaskName:
       target = &task_name_;
@@ -125,16 +125,16 @@
   return true;
 }
 
-bool ReportReader::SetCount(uint64_t value) {
+bool HeartbeatReader::SetCount(uint64_t value) {
   switch (field_) {
     case Field::kSession:
-      report_.session = value;
+      heartbeat_.agent_epoch = value;
       break;
     case Field::kSeq:
-      report_.seq = value;
+      heartbeat_.sequence = value;
       break;
     case Field::kToken:
-      report_.token = value;
+      heartbeat_.fencing_token = value;
       break;
     case Field::kAttempt:
       task_.attempt = value;
@@ -146,32 +146,32 @@
   return true;
 }
 
-bool ReportReader::SetAmount(double value) {
+bool HeartbeatReader::SetAmount(double value) {
   if (field_ != Field::kNotice) return WrongType();
   if (!std::isfinite(value) || value < 0) return Fail(field_, "must be finite and not negative");
-  report_.notice_s = value;
+  heartbeat_.notice_s = value;
   return true;
 }
 
-bool ReportReader::HasField() {
-  if (place_ == Place::kOutside) return FailText("not a JSON object");
-  if (place_ == Place::kTasks) return FailText("shards: not a JSON object");
+bool HeartbeatReader::HasField() {
+  if (place_ == PlaceTask::kOutside) return FailText("not a JSON object");
+  if (place_ == PlaceTask::kTasks) return FailText("shards: not a JSON object");
   return true;
 }
 
-bool ReportReader::null() {
+bool HeartbeatReader::null() {
   if (Skipping()) return true;
   if (!HasField()) return false;
   seen_.reset(static_cast<size_t>(field_));
-  if (field_ == Field::kNotice) report_.notice_s.reset();
+  if (field_ == Field::kNotice) heartbeat_.notice_s.reset();
   return true;
 }
 
-bool ReportReader::boolean(bool value) {
+bool HeartbeatReader::boolean(bool value) {
   if (Skipping()) return true;
   if (!HasField()) return false;
   if (field_ == Field::kSpot) {
-    report_.spot = value;
+    heartbeat_.spot = value;
   } else if (field_ == Field::kSaved) {
     task_.saved = value;
   } else {
@@ -181,48 +181,48 @@
   return true;
 }
 
-bool ReportReader::number_integer(int64_t value) {
+bool HeartbeatReader::number_integer(int64_t value) {
   if (Skipping()) return true;
   if (!HasField()) return false;
   return SetAmount(static_cast<double>(value));
 }
 
-bool ReportReader::number_unsigned(uint64_t value) {
+bool HeartbeatReader::number_unsigned(uint64_t value) {
   if (Skipping()) return true;
   if (!HasField()) return false;
   return SetCount(value);
 }
 
-bool ReportReader::number_float(double value, const std::string& /*text*/) {
+bool HeartbeatReader::number_float(double value, const std::string& /*text*/) {
   if (Skipping()) return true;
   if (!HasField()) return false;
   return SetAmount(value);
 }
 
-bool ReportReader::string(std::string& value) {
+bool HeartbeatReader::string(std::string& value) {
   if (Skipping()) return true;
   if (!HasField()) return false;
   return SetText(&value);
 }
 
-bool ReportReader::binary(Json::binary_t& /*value*/) { return FailText("not a JSON object"); }
+bool HeartbeatReader::binary(Json::binary_t& /*value*/) { return FailText("not a JSON object"); }
 
 // ---------------------------------------------------------------------------------------------
 // Structure
 
-bool ReportReader::start_object(size_t /*size*/) {
-  if (!Skipping() && place_ == Place::kOutside) {
-    place_ = Place::kReport;
+bool HeartbeatReader::start_object(size_t /*size*/) {
+  if (!Skipping() && place_ == PlaceTask::kOutside) {
+    place_ = PlaceTask::kReport;
     return true;
   }
-  if (!Skipping() && place_ == Place::kTasks) {
-    place_ = Place::kTask;
+  if (!Skipping() && place_ == PlaceTask::kTasks) {
+    place_ = PlaceTask::kTask;
     task_ = {};
     task_name_.clear();
     phase_.clear();
     cause_.clear();
     for (const FieldName& known : Names()) {
-      if (known.place == Place::kTask) seen_.reset(static_cast<size_t>(known.field));
+      if (known.place == PlaceTask::kTask) seen_.reset(static_cast<size_t>(known.field));
     }
     return true;
   }
@@ -231,26 +231,26 @@
   return true;
 }
 
-bool ReportReader::key(std::string& name) {
+bool HeartbeatReader::key(std::string& name) {
   if (!Skipping()) field_ = FindField(place_, name);
   return true;
 }
 
-bool ReportReader::end_object() {
+bool HeartbeatReader::end_object() {
   if (Skipping()) {
     --skipped_depth_;
     return true;
   }
-  if (place_ == Place::kTask) return FinishTask();
-  place_ = Place::kOutside;
+  if (place_ == PlaceTask::kTask) return FinishTask();
+  place_ = PlaceTask::kOutside;
   return true;
 }
 
-bool ReportReader::start_array(size_t /*size*/) {
+bool HeartbeatReader::start_array(size_t /*size*/) {
   if (!Skipping() && !HasField()) return false;
-  if (!Skipping() && place_ == Place::kReport && field_ == Field::kTasks) {
-    place_ = Place::kTasks;
-    report_.tasks.clear();
+  if (!Skipping() && place_ == PlaceTask::kReport && field_ == Field::kTasks) {
+    place_ = PlaceTask::kTasks;
+    heartbeat_.tasks.clear();
     return true;
   }
   if (!Skipping() && !WrongType()) return false;
@@ -258,22 +258,22 @@
   return true;
 }
 
-bool ReportReader::end_array() {
+bool HeartbeatReader::end_array() {
   if (Skipping()) {
     --skipped_depth_;
     return true;
   }
-  place_ = Place::kReport;
+  place_ = PlaceTask::kReport;
   seen_.set(static_cast<size_t>(Field::kTasks));
   return true;
 }
 
-bool ReportReader::parse_error(size_t /*position*/, const std::string& /*token*/,
-                               const Json::exception& /*error*/) {
+bool HeartbeatReader::parse_error(size_t /*position*/, const std::string& /*token*/,
+                                  const Json::exception& /*error*/) {
   return FailText("not a JSON object");
 }
 
-bool ReportReader::SawRequired(Place place) {
+bool HeartbeatReader::SawRequired(PlaceTask place) {
   for (const FieldName& known : Names()) {
     if (known.place != place || !known.required) continue;
     if (!seen_.test(static_cast<size_t>(known.field))) return Fail(known.field, "is missing");
@@ -281,9 +281,9 @@
   return true;
 }
 
-bool ReportReader::FinishTask() {
-  if (!SawRequired(Place::kTask)) return false;
-  place_ = Place::kTasks;
+bool HeartbeatReader::FinishTask() {
+  if (!SawRequired(PlaceTask::kTask)) return false;
+  place_ = PlaceTask::kTasks;
   auto ref = ParseTaskName(task_name_);
   if (!ref) return FailText("shards: bad task name");
   task_.task = std::move(*ref);
@@ -293,14 +293,14 @@
     // A cause that is not known must not cost the whole report: the task has ended all the same.
     task_.cause = FromLabel(kCauses, cause_).value_or(EndCause::kOther);
   }
-  report_.tasks.push_back(std::move(task_));
+  heartbeat_.tasks.push_back(std::move(task_));
   return true;
 }
 
-bool ReportReader::Finish(bool parsed) {
+bool HeartbeatReader::Finish(bool parsed) {
   if (!parsed) return FailText("not a JSON object");
-  if (!SawRequired(Place::kReport)) return false;
-  if (report_.machine.empty() || report_.machine.size() > kMaxMachineName) {
+  if (!SawRequired(PlaceTask::kReport)) return false;
+  if (heartbeat_.machine.empty() || heartbeat_.machine.size() > kMaxMachineName) {
     return Fail(Field::kMachine, "is empty or too long");
   }
   return error_.empty();
--- a/src/wire/report_reader.h
+++ b/src/wire/heartbeat_reader.h
@@ -1,7 +1,7 @@
 // Reads a worker's report in one pass over its text, without building a tree of it first: reports
 // are most of what a leader receives.
-#ifndef ZINCLEAD_WIRE_REPORT_READER_H_
-#define ZINCLEAD_WIRE_REPORT_READER_H_
+#ifndef ZINCLEAD_WIRE_HEARTBEAT_READER_H_
+#define ZINCLEAD_WIRE_HEARTBEAT_READER_H_
 
 #include <array>
 #include <bitset>
@@ -14,10 +14,10 @@
 
 // The handler of nlohmann's event parser. Reading stops at the first field that is invalid. Of
 // fields that come twice the last counts, and null is as good as missing.
-class ReportReader {
+class HeartbeatReader {
  public:
   // What the body says; valid when the parser and this reader found nothing wrong.
-  Report& report() { return report_; }
+  Heartbeat& heartbeat() { return heartbeat_; }
   // Which field is wrong and why; empty: none.
   const std::string& error() const { return error_; }
   // To be called after the parser has ended with that result.
@@ -36,11 +36,11 @@
   bool end_object();
   bool start_array(size_t size);
   bool end_array();
-  bool parse_error(size_t position, const std::string& token, const Json::exception& error);
+  bool parse_error(size_t position, const std::string& fencing_token, const Json::exception& error);
 
  private:
   // Where the parser is. What lies deeper than a task is skipped.
-  enum class Place : uint8_t { kOutside, kReport, kTasks, kTask };
+  enum class PlaceTask : uint8_t { kOutside, kReport, kTasks, kTask };
   enum class Field : uint8_t {
     kMachine,
     kAddress,
@@ -73,21 +73,21 @@
   bool WrongType();
   bool FinishTask();
   // Fails on the first required field of that place that was not seen.
-  bool SawRequired(Place place);
+  bool SawRequired(PlaceTask place);
   // Whether a value that comes now belongs to a field, as all but objects in the right places must.
   bool HasField();
   static const std::array<FieldName, 15>& Names();
-  static Field FindField(Place place, const std::string& name);
+  static Field FindField(PlaceTask place, const std::string& name);
   static const char* NameOf(Field field);
 
-  Report report_;
+  Heartbeat heartbeat_;
   std::string error_;
-  Place place_ = Place::kOutside;
+  PlaceTask place_ = PlaceTask::kOutside;
   int skipped_depth_ = 0;
   Field field_ = Field::kUnknown;
   std::bitset<kFieldCount> seen_;
   // Of the task that is being read.
-  ReportedTask task_;
+  TaskStatus task_;
   std::string task_name_;
   std::string phase_;
   std::string cause_;
@@ -95,4 +95,4 @@
 
 }  // namespace zinclead::wire
 
-#endif  // ZINCLEAD_WIRE_REPORT_READER_H_
+#endif  // ZINCLEAD_WIRE_HEARTBEAT_READER_H_
--- a/src/wire/labels.h
+++ b/src/wire/labels.h
@@ -26,11 +26,11 @@
      {"ended", TaskPhase::kEnded}}};
 inline constexpr std::array<std::pair<const char*, EndCause>, 8> kCauses{
     {{"done", EndCause::kDone},
-     {"halted", EndCause::kHalted},
+     {"halted", EndCause::kStopped},
      {"error", EndCause::kError},
-     {"no_room", EndCause::kNoRoom},
-     {"in_use", EndCause::kInUse},
-     {"no_such", EndCause::kNoSuch},
+     {"no_room", EndCause::kInsufficientCapacity},
+     {"in_use", EndCause::kConflict},
+     {"no_such", EndCause::kUnknownTask},
      {"peers", EndCause::kPeers},
      {"incomplete", EndCause::kIncomplete}}};
 inline constexpr std::array<std::pair<const char*, ListedState>, 3> kListedStates{
--- a/src/wire/peer_messages.cc
+++ b/src/wire/peer_messages.cc
@@ -14,7 +14,7 @@
   Json json = {{"limited", grant.limited}};
   if (!grant.limited) return json;
   json["by_tier"] = grant.by_tier;
-  json["turns"] = grant.turns;
+  json["turns"] = grant.reservations;
   json["accepted"] = grant.accepted;
   return json;
 }
@@ -34,7 +34,7 @@
   reader.Bool("limited", &grant.limited);
   if (!reader.ok()) return std::nullopt;
   if (!grant.limited) return grant;
-  reader.String("turns", &grant.turns, kMaxFilterText);
+  reader.String("turns", &grant.reservations, kMaxFilterText);
   reader.String("accepted", &grant.accepted, kMaxFilterText);
   const Json* tiers = reader.Array("by_tier");
   if (!reader.ok()) return std::nullopt;
@@ -60,7 +60,7 @@
           {"term", response.term}};
 }
 
-Json ToJson(const LeaderNotice& notice) {
+Json ToJson(const LeaderAnnouncement& notice) {
   Json json = {{"node", notice.node}, {"term", notice.term}};
   if (notice.credits) json["credits"] = CreditGrantToJson(*notice.credits);
   return json;
@@ -94,9 +94,9 @@
   return response;
 }
 
-std::optional<LeaderNotice> ParseLeaderNotice(std::string_view body) {
+std::optional<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body) {
   const Json json = ParseJson(body);
-  LeaderNotice notice;
+  LeaderAnnouncement notice;
   Reader reader(json);
   reader.String("node", &notice.node);
   reader.Unsigned("term", &notice.term);
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -36,20 +36,20 @@
   bool limited = false;  // false: all may be forwarded
   // Submissions of ids that the leader doesn't know, by tier and team.
   std::vector<std::map<std::string, uint64_t>> by_tier;
-  std::string turns;     // filter of the ids that have a turn (admission::IdFilter)
-  std::string accepted;  // filter of the ids that were accepted lately
+  std::string reservations;  // filter of the ids that have a turn (admission::BloomFilter)
+  std::string accepted;      // filter of the ids that were accepted lately
 };
-struct LeaderNotice {
+struct LeaderAnnouncement {
   std::string node;  // empty: the sender doesn't lead
   uint64_t term = 0;
   std::optional<CreditGrant> credits = std::nullopt;  // from the leader
 };
 Json ToJson(const ForwardedRequest& request);
 Json ToJson(const ForwardedResponse& response);
-Json ToJson(const LeaderNotice& notice);
+Json ToJson(const LeaderAnnouncement& notice);
 std::optional<ForwardedRequest> ParseForwardedRequest(std::string_view body);
 std::optional<ForwardedResponse> ParseForwardedResponse(std::string_view body);
-std::optional<LeaderNotice> ParseLeaderNotice(std::string_view body);
+std::optional<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body);
 
 }  // namespace zinclead::wire
 
--- a/src/wire/wire.cc
+++ b/src/wire/wire.cc
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <utility>
 
+#include "wire/heartbeat_reader.h"
 #include "wire/json_reader.h"
 #include "wire/labels.h"
-#include "wire/report_reader.h"
 
 namespace zinclead::wire {
 namespace {
@@ -191,18 +191,18 @@
   return job + "/" + std::to_string(index);
 }
 
-std::optional<Report> ParseReport(std::string_view body, std::string* error) {
-  ReportReader reader;
+std::optional<Heartbeat> ParseHeartbeat(std::string_view body, std::string* error) {
+  HeartbeatReader reader;
   if (!reader.Finish(Json::sax_parse(body, &reader))) {
     *error = reader.error();
     return std::nullopt;
   }
-  return std::move(reader.report());
+  return std::move(reader.heartbeat());
 }
 
-Json ToJson(const Report& report) {
+Json ToJson(const Heartbeat& heartbeat) {
   Json tasks = Json::array();
-  for (const ReportedTask& task : report.tasks) {
+  for (const TaskStatus& task : heartbeat.tasks) {
     Json entry{{"shard", TaskName(task.task.job, task.task.index)},
                {"strike", task.attempt},
                {"phase", Label(kTaskPhases, task.phase)}};
@@ -210,16 +210,17 @@
     if (task.saved) entry["kept"] = true;
     tasks.push_back(std::move(entry));
   }
-  Json json{{"anvil", report.machine},   {"address", report.address}, {"alloy", report.type},
-            {"yard", report.zone},       {"scrap", report.spot},      {"heat", report.session},
-            {"tally", report.seq},       {"mandate", report.token},   {"recallS", nullptr},
-            {"shards", std::move(tasks)}};
-  if (report.notice_s) json["recallS"] = *report.notice_s;
+  Json json{{"anvil", heartbeat.machine},  {"address", heartbeat.address},
+            {"alloy", heartbeat.type},     {"yard", heartbeat.zone},
+            {"scrap", heartbeat.spot},     {"heat", heartbeat.agent_epoch},
+            {"tally", heartbeat.sequence}, {"mandate", heartbeat.fencing_token},
+            {"recallS", nullptr},          {"shards", std::move(tasks)}};
+  if (heartbeat.notice_s) json["recallS"] = *heartbeat.notice_s;
   return json;
 }
 
-std::string CommandsBody(uint64_t token, const std::vector<Command>& commands,
-                         std::optional<uint64_t> session) {
+std::string CommandsBody(uint64_t fencing_token, const std::vector<Command>& commands,
+                         std::optional<uint64_t> agent_epoch) {
   Json orders = Json::array();
   for (const Command& command : commands) {
     Json order{{"shard", TaskName(command.task.job, command.task.index)},
@@ -232,18 +233,18 @@
         order["verb"] = "halt";
         order["cooldownS"] = command.grace_s;
         break;
-      case CommandOp::kForget:
+      case CommandOp::kAcknowledgeCompletion:
         order["verb"] = "clear";
         break;
     }
     orders.push_back(std::move(order));
   }
-  Json json{{"mandate", token}, {"orders", std::move(orders)}};
-  if (session) json["heat"] = *session;
+  Json json{{"mandate", fencing_token}, {"orders", std::move(orders)}};
+  if (agent_epoch) json["heat"] = *agent_epoch;
   return Dump(json);
 }
 
-std::string ReportToBody(const std::string& node) {
+std::string RedirectBody(const std::string& node) {
   return node.empty() ? std::string("{}") : Dump({{"foreman", node}});
 }
 
@@ -278,7 +279,7 @@
           {"bootS", type.boot_s},     {"yards", type.zones}};
 }
 
-std::string RentBody(const RentRequest& request) {
+std::string ScaleOutBody(const ScaleOutRequest& request) {
   return Dump({{"hire", request.name},
                {"alloy", request.type},
                {"yard", request.zone},
@@ -286,7 +287,7 @@
                {"howMany", request.count}});
 }
 
-std::optional<std::vector<std::string>> ParseRented(std::string_view body) {
+std::optional<std::vector<std::string>> ParseScaleOutResponse(std::string_view body) {
   return ParseList<std::string>(body, "anvils", AsString);
 }
 
@@ -361,10 +362,10 @@
   return page;
 }
 
-std::string TransactionBody(const std::vector<StoreCondition>& conditions,
-                            const std::vector<StoreWrite>& writes) {
+std::string CompareAndSwapBody(const std::vector<VersionPrecondition>& conditions,
+                               const std::vector<StoreWrite>& writes) {
   Json when = Json::array();
-  for (const StoreCondition& c : conditions) {
+  for (const VersionPrecondition& c : conditions) {
     when.push_back({{"path", c.key}, {"stamp", c.version}});
   }
   Json then = Json::array();
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -19,16 +19,16 @@
 inline constexpr size_t kMaxBody = size_t{64} * 1024;
 inline constexpr uint32_t kMaxTasks = 100'000;
 // How long users and workers wait for an answer, in seconds.
-inline constexpr double kSubmitPatienceS = 5;
-inline constexpr double kPollPatienceS = 2;
-inline constexpr double kReportPatienceS = 4;
+inline constexpr double kSubmitTimeoutS = 5;
+inline constexpr double kQueryTimeoutS = 2;
+inline constexpr double kHeartbeatTimeoutS = 4;
 // A worker reports changes at once, but not more often than this.
-inline constexpr double kLeastBetweenReportsS = 0.5;
+inline constexpr double kMinHeartbeatIntervalS = 0.5;
 // Workers report every report period, plus or minus a quarter.
-inline constexpr double kLatestReportShare = 1.25;
+inline constexpr double kMaxHeartbeatIntervalRatio = 1.25;
 // The cloud charges at least this much of a machine's time.
 inline constexpr double kMinChargeS = 60;
-inline constexpr int kMaxRentCount = 50;
+inline constexpr int kMaxScaleOutCount = 50;
 inline constexpr size_t kMaxDeleteNames = 100;
 inline constexpr int kMaxMachinesPerPage = 500;
 inline constexpr int kMaxKeysPerPage = 1000;
@@ -93,17 +93,17 @@
 enum class EndCause : uint8_t {
   kNone,
   kDone,
-  kHalted,
+  kStopped,
   kError,
-  kNoRoom,
-  kInUse,
-  kNoSuch,
+  kInsufficientCapacity,
+  kConflict,
+  kUnknownTask,
   kPeers,
   kIncomplete,
   kOther
 };
 
-struct ReportedTask {
+struct TaskStatus {
   TaskRef task;
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kRunning;
@@ -111,31 +111,31 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
-  uint64_t seq = 0;
-  uint64_t token = 0;
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+  uint64_t fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<ReportedTask> tasks;
+  std::vector<TaskStatus> tasks;
 };
-std::optional<Report> ParseReport(std::string_view body, std::string* error);
-Json ToJson(const Report& report);
+std::optional<Heartbeat> ParseHeartbeat(std::string_view body, std::string* error);
+Json ToJson(const Heartbeat& heartbeat);
 
-enum class CommandOp : uint8_t { kStart, kStop, kForget };
+enum class CommandOp : uint8_t { kStart, kStop, kAcknowledgeCompletion };
 struct Command {
   CommandOp op = CommandOp::kStart;
   TaskRef task;
   uint64_t attempt = 0;
   double grace_s = 0;  // kStop only
 };
-std::string CommandsBody(uint64_t token, const std::vector<Command>& commands,
-                         std::optional<uint64_t> session = std::nullopt);
-std::string ReportToBody(const std::string& node);
+std::string CommandsBody(uint64_t fencing_token, const std::vector<Command>& commands,
+                         std::optional<uint64_t> agent_epoch = std::nullopt);
+std::string RedirectBody(const std::string& node);
 
 // ---- cloud ----
 
@@ -155,15 +155,15 @@
 std::optional<MachineType> MachineTypeFromJson(const Json& json);
 Json ToJson(const MachineType& type);
 
-struct RentRequest {
+struct ScaleOutRequest {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
 };
-std::string RentBody(const RentRequest& request);
-std::optional<std::vector<std::string>> ParseRented(std::string_view body);
+std::string ScaleOutBody(const ScaleOutRequest& request);
+std::optional<std::vector<std::string>> ParseScaleOutResponse(std::string_view body);
 std::string DeleteBody(const std::vector<std::string>& machines);
 // True for the cloud's answer that says there is no capacity, as opposed to an outage.
 bool IsNoCapacity(std::string_view body);
@@ -202,14 +202,14 @@
   std::optional<Json> value;  // nullopt deletes the key
   std::optional<uint64_t> lease;
 };
-struct StoreCondition {
+struct VersionPrecondition {
   std::string key;
   uint64_t version = 0;  // 0: the key does not exist
 };
 std::optional<StoreItem> ParseStoreItem(std::string_view body);
 std::optional<StorePage> ParseStorePage(std::string_view body);
-std::string TransactionBody(const std::vector<StoreCondition>& conditions,
-                            const std::vector<StoreWrite>& writes);
+std::string CompareAndSwapBody(const std::vector<VersionPrecondition>& conditions,
+                               const std::vector<StoreWrite>& writes);
 std::optional<uint64_t> ParseRevision(std::string_view body);
 std::vector<std::string> ParseFailedKeys(std::string_view body);
 std::string LeaseBody(int64_t ttl_ms);
@@ -224,12 +224,12 @@
 inline constexpr std::string_view kJobsPath = "/submissions";
 inline constexpr std::string_view kCancelSuffix = "/abort";
 inline constexpr std::string_view kHealthPath = "/healthz";
-inline constexpr std::string_view kReportPath = "/hello";
+inline constexpr std::string_view kHeartbeatPath = "/hello";
 inline constexpr std::string_view kCommandsPath = "/do";
 inline constexpr std::string_view kMachineTypesPath = "/flavors";
 inline constexpr std::string_view kMachinesPath = "/hosts";
 inline constexpr std::string_view kMachinesDeletePath = "/hosts/delete";
-inline constexpr std::string_view kTransactionPath = "/commit";
+inline constexpr std::string_view kCompareAndSwapPath = "/commit";
 inline constexpr std::string_view kLeasesPath = "/grants";
 
 }  // namespace zinclead::wire
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "admission/admission_policy.h"
+#include "admission/bloom_filter.h"
 #include "admission/credit_gate.h"
 #include "admission/fair_queue.h"
-#include "admission/id_filter.h"
 #include "fixtures.h"
 
 namespace zinclead::admission {
@@ -29,10 +29,10 @@
   settings.state_write_rps = writes_per_s;
   settings.teams.clear();
   for (int i = 0; i < teams; ++i) settings.teams.push_back({Team(i), 0, 0, 0, 0});
-  config::OperatorSettings tuning;
-  tuning.admission.fair = 1;
-  tuning.max_active_jobs = 100'000;
-  return DeriveLimits(settings, tuning);
+  config::OperatorSettings operator_settings;
+  operator_settings.admission.fair = 1;
+  operator_settings.max_active_jobs = 100'000;
+  return DeriveLimits(settings, operator_settings);
 }
 
 // Users of one leader and its followers, as PROTOCOL describes them. Time goes in steps.
@@ -92,7 +92,7 @@
       next_ping_ = now_ + kPingS;
       const wire::CreditGrant grant = policy_->MakeGrant(now_);
       for (size_t i = 0; i < nodes_; ++i) {
-        if (i != leader_ && !cut_.contains(i)) gates_[i]->OnLeaderNotice(term_, grant, now_);
+        if (i != leader_ && !cut_.contains(i)) gates_[i]->OnLeaderAnnouncement(term_, grant, now_);
       }
     }
     if (store_works_) {
@@ -102,11 +102,11 @@
       if (!job.over && job.next_at <= now_) Try(&job);
     }
     ASSERT_TRUE(policy_->CountsAgree());
-    ASSERT_LE(policy_->turns(), limits_.MaxTurns());
+    ASSERT_LE(policy_->reservations(), limits_.MaxReservations());
   }
   void Try(Job* job) {
     const double began = job->begins_at;
-    if (now_ - began > kUserPatienceS) {
+    if (now_ - began > kUserRetryLimitS) {
       job->over = true;
       return;
     }
@@ -115,7 +115,7 @@
     Decision decision;
     ++tries;
     if (node != leader_) {
-      const auto verdict = gates_[node]->Ask(job->request, now_);
+      const auto verdict = gates_[node]->Decide(job->request, now_);
       decision.retry_after_s = verdict.retry_after_s;
       if (verdict.forward && !cut_.contains(node)) {
         decision = policy_->Decide(job->request, now_);
@@ -124,7 +124,7 @@
           gates_[node]->OnRefused(job->request.id, decision.retry_after_s, now_);
         }
       } else if (verdict.forward) {
-        decision.retry_after_s = gates_[node]->DrawRetryWithoutLeader();
+        decision.retry_after_s = gates_[node]->RandomRetryWithoutLeader();
       }
     } else {
       decision = policy_->Decide(job->request, now_);
@@ -138,7 +138,7 @@
     ASSERT_GE(decision.retry_after_s, 1);
     ASSERT_LE(decision.retry_after_s, kMaxRetryAfterS);
     ++come_back_at[static_cast<int>(now_ + decision.retry_after_s)];
-    if (decision.has_turn && job->turn_at < 0) job->turn_at = now_;
+    if (decision.has_reservation && job->turn_at < 0) job->turn_at = now_;
     job->last_refused_at = now_;
     if (job->retry == Retry::kNever) job->over = true;
     job->next_at = now_ + (job->retry == Retry::kEachSecond ? 1 : decision.retry_after_s);
@@ -191,20 +191,20 @@
   const auto weights = *rc::gen::container<std::vector<int>>(4, rc::gen::inRange(1, 9));
   const auto costs = *rc::gen::container<std::vector<int>>(600, rc::gen::inRange(1, 6));
   FairQueue queue;
-  std::vector<std::unique_ptr<Turn>> turns;
+  std::vector<std::unique_ptr<Reservation>> reservations;
   std::map<std::string, double> served;
   for (size_t i = 0; i < costs.size(); ++i) {
-    auto turn = std::make_unique<Turn>();
+    auto turn = std::make_unique<Reservation>();
     turn->id = std::to_string(i);
     turn->team = Team(static_cast<int>(i % weights.size()));
     turn->cost = costs[i];
     queue.Push(turn.get(), weights[i % weights.size()]);
-    turns.push_back(std::move(turn));
+    reservations.push_back(std::move(turn));
   }
   const auto all = [](const std::string&) { return true; };
   // Until the first team has nothing left.
   while (queue.active_teams() == weights.size()) {
-    Turn* turn = queue.Next(all);
+    Reservation* turn = queue.Next(all);
     RC_ASSERT(turn == queue.Next(all));
     queue.PopServed();
     served[turn->team] += turn->cost;
@@ -222,8 +222,8 @@
 
 TEST(FairQueue, PassesOverTeamsThatMayNotBeServed) {
   FairQueue queue;
-  Turn first{"a", Team(0), 0, 2};
-  Turn second{"b", Team(1), 0, 2};
+  Reservation first{"a", Team(0), 0, 2};
+  Reservation second{"b", Team(1), 0, 2};
   queue.Push(&first, 1);
   queue.Push(&second, 1);
   EXPECT_EQ(queue.Next([](const std::string& team) { return team == Team(1); }), &second);
@@ -236,24 +236,25 @@
 
 // ---- filters ----
 
-RC_GTEST_PROP(IdFilter, NeverMissesAndReadsItsOwnText, (const std::vector<std::string>& ids)) {
-  IdFilter filter(ids.size());
+RC_GTEST_PROP(BloomFilter, NeverMissesAndReadsItsOwnText, (const std::vector<std::string>& ids)) {
+  BloomFilter filter(ids.size());
   for (const std::string& id : ids) filter.Add(id);
-  const auto copy = IdFilter::FromText(filter.ToText());
+  const auto copy = BloomFilter::FromText(filter.ToText());
   RC_ASSERT(copy.has_value());
-  for (const std::string& id : ids) RC_ASSERT(copy->MayHold(id));
+  for (const std::string& id : ids) RC_ASSERT(copy->MayContain(id));
 }
 
-TEST(IdFilter, LetsFewOthersPassAndRefusesOtherTexts) {
-  IdFilter filter(1000);
+TEST(BloomFilter, LetsFewOthersPassAndRefusesOtherTexts) {
+  BloomFilter filter(1000);
   for (int i = 0; i < 1000; ++i) filter.Add("req-" + std::to_string(100'000 + i));
   int passed = 0;
-  for (int i = 0; i < 10'000; ++i) passed += filter.MayHold("req-" + std::to_string(200'000 + i));
+  for (int i = 0; i < 10'000; ++i)
+    passed += filter.MayContain("req-" + std::to_string(200'000 + i));
   EXPECT_LT(passed, 300);
-  EXPECT_FALSE(IdFilter().MayHold("req-000001"));
-  EXPECT_FALSE(IdFilter::FromText("abc").has_value());
-  EXPECT_FALSE(IdFilter::FromText("zz").has_value());
-  EXPECT_FALSE(IdFilter::FromText(std::string(2 * IdFilter::kMaxBytes + 2, '0')).has_value());
+  EXPECT_FALSE(BloomFilter().MayContain("req-000001"));
+  EXPECT_FALSE(BloomFilter::FromText("abc").has_value());
+  EXPECT_FALSE(BloomFilter::FromText("zz").has_value());
+  EXPECT_FALSE(BloomFilter::FromText(std::string(2 * BloomFilter::kMaxBytes + 2, '0')).has_value());
 }
 
 // ---- policy ----
@@ -317,7 +318,7 @@
   for (size_t tier = 0; tier < kTiers; ++tier) {
     const double sure = 60 * limits.tier_rate[tier] / kRecordsPerJob;
     // Turns that are open at the end are served but not used yet.
-    const double open = limits.turn_window_s * limits.tier_rate[tier] / kRecordsPerJob;
+    const double open = limits.reservation_window_s * limits.tier_rate[tier] / kRecordsPerJob;
     EXPECT_GE(flood.Admitted(tier) + open + 4, 0.9 * sure) << "tier " << tier;
     for (int team = 0; team < 4; ++team) {
       EXPECT_NEAR(flood.Admitted(tier, team), flood.Admitted(tier) / 4.0,
@@ -339,19 +340,19 @@
         1000 + *rc::gen::inRange(0, 30), *rc::gen::inRange(1, 120),
         *rc::gen::element(Flood::Retry::kAsNamed, Flood::Retry::kEachSecond, Flood::Retry::kNever));
   }
-  flood.RunUntil(1000 + 30 + 2 * kUserPatienceS);
+  flood.RunUntil(1000 + 30 + 2 * kUserRetryLimitS);
   for (const Flood::Job& job : flood.jobs()) {
     if (job.turn_at < 0 || job.retry == Flood::Retry::kNever) continue;
     const double latest = job.turn_at + limits.WaitBound(job.request.tier) + kRetryRoundingS;
     if (job.admitted_at < 0) {
       // Its turn came too late in its user's patience to be sure of.
-      RC_ASSERT(latest > job.begins_at + kUserPatienceS);
+      RC_ASSERT(latest > job.begins_at + kUserRetryLimitS);
     } else {
       RC_ASSERT(job.admitted_at <= latest);
     }
   }
   flood.policy().MakeGrant(flood.now());
-  RC_ASSERT(flood.policy().turns() == 0U);  // nothing is left behind
+  RC_ASSERT(flood.policy().reservations() == 0U);  // nothing is left behind
 }
 
 TEST(AdmissionPolicy, LostLeadersDelayTheBoundByOneRetryAndBringNoHerd) {
@@ -434,22 +435,22 @@
   const Request first{"req-000001", Team(0), kProd, 2};
   EXPECT_TRUE(policy.Decide({"req-000000", Team(0), kProd, 2}, 0).admitted);
   const Decision refused = policy.Decide(first, 0);
-  EXPECT_TRUE(refused.has_turn);
+  EXPECT_TRUE(refused.has_reservation);
   // Sent to three controllers at once: one turn, one time.
   EXPECT_EQ(policy.Decide(first, 0).retry_after_s, refused.retry_after_s);
-  EXPECT_EQ(policy.turns(), 1U);
+  EXPECT_EQ(policy.reservations(), 1U);
   // With other contents it is another job: it takes over nothing.
   Request other = first;
   other.tier = kBestEffort;
   EXPECT_TRUE(policy.Decide(other, 0).admitted);
-  EXPECT_EQ(policy.turns(), 0U);
-  EXPECT_TRUE(policy.Decide(first, 0).has_turn);
+  EXPECT_EQ(policy.reservations(), 0U);
+  EXPECT_TRUE(policy.Decide(first, 0).has_reservation);
   policy.Withdraw(first.id);
   policy.Withdraw("req-000404");
-  EXPECT_EQ(policy.turns(), 0U);
+  EXPECT_EQ(policy.reservations(), 0U);
   EXPECT_TRUE(policy.CountsAgree());
   // A turn that was granted and is withdrawn gives its place back.
-  ASSERT_TRUE(policy.Decide(first, 0).has_turn);
+  ASSERT_TRUE(policy.Decide(first, 0).has_reservation);
   const size_t active = policy.active().total();
   policy.MakeGrant(2);
   EXPECT_EQ(policy.active().total(), active + 1);
@@ -472,7 +473,7 @@
   EXPECT_EQ(policy.active().total(), before + 1);
   const bool admitted = policy.Decide({id, Team(0), kBestEffort, 2}, 22).admitted;
   EXPECT_EQ(policy.active().total(), before + (admitted ? 1 : 0));
-  EXPECT_EQ(policy.counters().turns_lapsed, 1U);
+  EXPECT_EQ(policy.counters().reservations_expired, 1U);
 }
 
 // All who come in one second and get no turn are spread when they come back.
@@ -501,19 +502,19 @@
 
 TEST(AdmissionLimits, FollowWeightsAndSettings) {
   config::Settings settings = testing::MakeSettings();
-  config::OperatorSettings tuning;
-  tuning.admission.fair = 1;
-  tuning.admission.team_weights["open"] = 3;
-  const Limits limits = DeriveLimits(settings, tuning);
-  EXPECT_EQ(limits.TurnCost("open", kProd), 3 * limits.TurnCost("capped", kProd));
+  config::OperatorSettings operator_settings;
+  operator_settings.admission.fair = 1;
+  operator_settings.admission.team_weights["open"] = 3;
+  const Limits limits = DeriveLimits(settings, operator_settings);
+  EXPECT_EQ(limits.ReservationCost("open", kProd), 3 * limits.ReservationCost("capped", kProd));
   EXPECT_EQ(limits.WeightOf("unknown"), 1);
   double sum = 0;
   for (const double rate : limits.tier_rate) sum += rate;
   EXPECT_NEAR(sum, limits.rate, 1e-9);
-  for (size_t tier = 0; tier < kTiers; ++tier) EXPECT_LE(limits.WaitBound(tier), kUserPatienceS);
+  for (size_t tier = 0; tier < kTiers; ++tier) EXPECT_LE(limits.WaitBound(tier), kUserRetryLimitS);
   EXPECT_GT(Describe(limits).size(), kTiers);
-  tuning.admission.fair = 0;
-  EXPECT_EQ(Describe(DeriveLimits(settings, tuning)).size(), 2U);
+  operator_settings.admission.fair = 0;
+  EXPECT_EQ(Describe(DeriveLimits(settings, operator_settings)).size(), 2U);
 }
 
 // ---- the followers' gate ----
@@ -521,7 +522,7 @@
 class CreditGateTest : public ::testing::Test {
  protected:
   bool Forwards(const std::string& id, int team, double now, size_t tier = kStandard) {
-    return gate_.Ask({id, Team(team), tier, 2}, now).forward;
+    return gate_.Decide({id, Team(team), tier, 2}, now).forward;
   }
   // A leader of the term whose standard tier is flooded by the first team.
   wire::CreditGrant FloodedGrant() {
@@ -546,12 +547,12 @@
   EXPECT_LE(forwarded, 1 + static_cast<int>(10 * limits_.follower_trickle / 3) + 1);
   EXPECT_TRUE(Forwards("req-a", 1, 10));  // another team's is its own
   // Teams that aren't known share one.
-  EXPECT_TRUE(gate_.Ask({"x", "nobody", kProd, 2}, 10).forward);
-  EXPECT_FALSE(gate_.Ask({"y", "no one", kProd, 2}, 10).forward);
+  EXPECT_TRUE(gate_.Decide({"x", "nobody", kProd, 2}, 10).forward);
+  EXPECT_FALSE(gate_.Decide({"y", "no one", kProd, 2}, 10).forward);
 }
 
 TEST_F(CreditGateTest, AnOlderVersionSetsNoLimit) {
-  gate_.OnLeaderNotice(3, std::nullopt, 0);
+  gate_.OnLeaderAnnouncement(3, std::nullopt, 0);
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(Forwards("req-" + std::to_string(i), 0, 1));
   // Its silence does.
   int forwarded = 0;
@@ -560,7 +561,7 @@
 }
 
 TEST_F(CreditGateTest, ForwardsWhatHasATurnOrWasAccepted) {
-  gate_.OnLeaderNotice(3, FloodedGrant(), 0);
+  gate_.OnLeaderAnnouncement(3, FloodedGrant(), 0);
   EXPECT_FALSE(Forwards("req-newcomer", 0, 1));  // the team's turns are all taken
   EXPECT_TRUE(Forwards("req-other", 1, 1));
   EXPECT_TRUE(Forwards("req-accepted", 0, 1));
@@ -568,10 +569,10 @@
   EXPECT_TRUE(Forwards("req-20", 0, 1));
   // Refused by the leader, it is refused here until the time that was named.
   gate_.OnRefused("req-20", 7, 1);
-  const auto verdict = gate_.Ask({"req-20", Team(0), kStandard, 2}, 1.2);
+  const auto verdict = gate_.Decide({"req-20", Team(0), kStandard, 2}, 1.2);
   EXPECT_FALSE(verdict.forward);
   EXPECT_EQ(verdict.retry_after_s, 7);
-  gate_.OnLeaderNotice(3, FloodedGrant(), 8);
+  gate_.OnLeaderAnnouncement(3, FloodedGrant(), 8);
   EXPECT_TRUE(Forwards("req-20", 0, 8));
   // Accepted through another node meanwhile: the refusal here no longer stands.
   gate_.OnRefused("req-accepted", 7, 8);
@@ -579,7 +580,7 @@
 }
 
 TEST_F(CreditGateTest, CreditsAreSpentAndLapse) {
-  gate_.OnLeaderNotice(3, FloodedGrant(), 0);
+  gate_.OnLeaderAnnouncement(3, FloodedGrant(), 0);
   const auto credits = FloodedGrant().by_tier[kStandard][Team(1)];
   uint64_t forwarded = 0;
   for (int i = 0; i < 500; ++i) forwarded += Forwards("req-x" + std::to_string(i), 1, 1) ? 1 : 0;
@@ -590,12 +591,12 @@
 }
 
 TEST_F(CreditGateTest, GrantsOfAnOlderTermOrAnotherFormatChangeNothing) {
-  gate_.OnLeaderNotice(5, FloodedGrant(), 0);
-  gate_.OnLeaderNotice(4, std::nullopt, 0.1);
+  gate_.OnLeaderAnnouncement(5, FloodedGrant(), 0);
+  gate_.OnLeaderAnnouncement(4, std::nullopt, 0.1);
   EXPECT_FALSE(Forwards("req-newcomer", 0, 1));
   wire::CreditGrant broken = FloodedGrant();
-  broken.turns = "not hexadecimal";
-  gate_.OnLeaderNotice(6, broken, 1);
+  broken.reservations = "not hexadecimal";
+  gate_.OnLeaderAnnouncement(6, broken, 1);
   EXPECT_FALSE(Forwards("req-newcomer", 0, 1.2) && Forwards("req-newcomer-2", 0, 1.2));
 }
 
@@ -603,15 +604,16 @@
   wire::CreditGrant grant;
   grant.limited = true;
   grant.by_tier = {{{"a", 1}}, {}, {{"b", 2}, {"a", 0}}, {}};
-  grant.turns = "00ff";
-  const auto read = wire::ParseLeaderNotice(ToJson(wire::LeaderNotice{"n1", term, grant}).dump());
+  grant.reservations = "00ff";
+  const auto read =
+      wire::ParseLeaderAnnouncement(ToJson(wire::LeaderAnnouncement{"n1", term, grant}).dump());
   RC_ASSERT(read && read->credits);
   RC_ASSERT(read->credits->by_tier == grant.by_tier);
-  RC_ASSERT(read->credits->turns == grant.turns);
+  RC_ASSERT(read->credits->reservations == grant.reservations);
   // A field of another type costs the grant, not the notice.
-  wire::Json json = ToJson(wire::LeaderNotice{"n1", term, grant});
+  wire::Json json = ToJson(wire::LeaderAnnouncement{"n1", term, grant});
   json["credits"]["by_tier"] = static_cast<int>(team.size());
-  const auto other = wire::ParseLeaderNotice(json.dump());
+  const auto other = wire::ParseLeaderAnnouncement(json.dump());
   RC_ASSERT(other && !other->credits && other->term == term);
 }
 
--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -21,7 +21,7 @@
   stay_with_.clear();
   peers_apart_ = false;
   store_out_until_ = cloud_out_until_ = 0;
-  for (auto& [id, w] : workers_) w.cut_until = w.deaf_until = w.hung_until = now_;
+  for (auto& [id, w] : workers_) w.cut_until = w.downlink_lost_until = w.hung_until = now_;
   if (!Current().alive) Elect(false);
   const auto served = [&] { return AllOver() || AllRun(); };
   EXPECT_TRUE(RunUntil(served, 16 * settings_.cancel_s)) << "left over: " << Left();
@@ -37,7 +37,7 @@
   ASSERT_TRUE(RunUntil([&] { return told_.at(id).accepted; }, 10));
 }
 
-size_t World::Standing(const std::string& job) const {
+size_t World::NodeHealth(const std::string& job) const {
   size_t count = 0;
   for (const auto& [id, w] : workers_) {
     if (w.dead) continue;
@@ -137,34 +137,34 @@
     }
   }
   Node node;
-  node.cluster =
-      std::make_unique<Cluster>(settings_, tuning_, ++term_, now_, 1e6 + now_, random_());
+  node.cluster = std::make_unique<Cluster>(settings_, operator_settings_, ++term_, now_, 1e6 + now_,
+                                           random_());
   for (const auto& [key, value] : store_) EXPECT_TRUE(node.cluster->LoadRecord(key, value)) << key;
   node.cluster->FinishLoading(now_);
   node.cluster->OnMachineTypes(types_);
   nodes_.push_back(std::move(node));
-  if (capped_use_ > settings_.FindTeam("capped")->cpus_max - 1) ++coverage.limit_takeovers;
+  if (capped_use_ > settings_.FindTeam("capped")->cpus_max - 1) ++coverage.quota_failovers;
   if (now_ < store_out_until_) ++coverage.changes_in_outage;
   for (const auto& [id, w] : workers_) {
     if (w.dead) continue;
-    if (now_ < w.deaf_until) ++coverage.deaf_takeovers;
+    if (now_ < w.downlink_lost_until) ++coverage.downlink_lost_failovers;
     if (now_ >= w.cut_until && now_ >= w.hung_until) continue;
     for (const auto& [key, task] : w.tasks) {
       if (task.Live() && told_.at(wire::ParseTaskName(key.first)->job).spec.one_zone) {
-        ++coverage.zone_takeovers;
+        ++coverage.zone_failovers;
       }
     }
   }
   for (const auto& [id, w] : workers_) {
     for (const auto& [key, task] : w.tasks) {
-      if (!w.dead && task.phase == wire::TaskPhase::kWaiting) ++coverage.waiting_takeovers;
+      if (!w.dead && task.phase == wire::TaskPhase::kWaiting) ++coverage.waiting_failovers;
     }
   }
   for (const auto& [id, told] : told_) {
     if (!told.accepted) continue;
     const auto view = Current().cluster->View(id);
     if (told.spec.kind == wire::JobKind::kGang && !told.done && AllCompleted(told.spec)) {
-      ++coverage.done_takeovers;
+      ++coverage.done_failovers;
     }
     ASSERT_TRUE(view.has_value()) << id << " was forgotten";
     if (told.done) {
@@ -234,20 +234,20 @@
   if (Rate(0.02)) Current().cut_until = now_ + Uniform(1, 6);
   for (auto& [id, w] : workers_) {
     if (Rate(0.008)) w.cut_until = now_ + Uniform(1, 25);
-    if (Rate(0.004)) w.deaf_until = now_ + Uniform(1, 60);
+    if (Rate(0.004)) w.downlink_lost_until = now_ + Uniform(1, 60);
     if (Rate(0.004)) w.hung_until = now_ + Uniform(1, 1.5 * settings_.lease_s);
     if (Rate(0.004) && now_ > w.up_at && !w.dead) {
       w.tasks.clear();
       w.flight.reset();
       w.was_back = true;
       w.lease_base = now_;
-      w.next_report = now_ + Uniform(0, 0.5);
+      w.next_heartbeat_at = now_ + Uniform(0, 0.5);
       if (Chance(0.5)) {
         ++coverage.back_as_before;
       } else {
         ++coverage.back_anew;
-        w.session = 1;
-        w.seq = w.token = 0;
+        w.agent_epoch = 1;
+        w.sequence = w.fencing_token = 0;
       }
     }
     if (w.spot && w.notice_at > now_ + 1e6 && Rate(0.01)) {
@@ -307,10 +307,11 @@
     if (current && now_ >= store_out_until_) node.valid_until = now_ + 2;
     Commit(&node, current);
     if (node.cluster->NextWake() <= now_) {
-      const bool lapsed = now_ >= node.valid_until;
-      const Effects effects = node.cluster->Schedule(now_, lapsed);
-      EXPECT_TRUE(!lapsed || effects.remove.empty()) << "deletes what may be another leader's";
-      Apply(&node, effects);
+      const bool lease_expired = now_ >= node.valid_until;
+      const CloudActions cloud_actions = node.cluster->Schedule(now_, lease_expired);
+      EXPECT_TRUE(!lease_expired || cloud_actions.scale_in.empty())
+          << "deletes what may be another leader's";
+      Apply(&node, cloud_actions);
     }
     if (!current) continue;
     ReadAnswers(node);
@@ -318,23 +319,23 @@
     if (!peers_apart_ &&
         std::none_of(nodes_.begin(), nodes_.begin() + static_cast<std::ptrdiff_t>(old),
                      [](const Node& other) { return other.alive; })) {
-      if (nodes_.size() > 1 && !node.cluster->settled()) ++coverage.early_ends;
+      if (nodes_.size() > 1 && !node.cluster->settled()) ++coverage.early_leader_ends;
       node.cluster->OnEarlierLeadersEnded(now_);
     }
   }
 }
 
 void World::Commit(Node* node, bool current) {
-  if (!node->cluster->HasDirty() || (!scripted_ && Chance(0.3))) return;
-  const auto keys = node->cluster->TakeDirty(4);
+  if (!node->cluster->HasQueuedRecords() || (!scripted_ && Chance(0.3))) return;
+  const auto keys = node->cluster->DequeueRecords(4);
   std::vector<std::pair<std::string, std::optional<wire::Json>>> writes;
   writes.reserve(keys.size());
   for (const auto& key : keys) {
-    writes.emplace_back(key, node->cluster->Render(key));
+    writes.emplace_back(key, node->cluster->Serialize(key));
     ObserveRecord(IndexOf(*node), key, writes.back().second);
   }
   if (!current || now_ < store_out_until_ || (!scripted_ && Chance(0.1))) {
-    for (const auto& key : keys) node->cluster->OnNotStored(key);
+    for (const auto& key : keys) node->cluster->Requeue(key);
     return;
   }
   for (const auto& [key, value] : writes) {
@@ -345,19 +346,20 @@
     }
     node->cluster->OnStored(key, now_);
   }
-  (void)node->cluster->TakeSettledJobs();
+  (void)node->cluster->TakeDurableStateChanges();
 }
 
-void World::Apply(Node* node, const Effects& effects) {
-  ObserveCloudCalls(IndexOf(*node), effects);
-  for (const auto& request : effects.rent) {
+void World::Apply(Node* node, const CloudActions& cloud_actions) {
+  ObserveCloudCalls(IndexOf(*node), cloud_actions);
+  for (const auto& request : cloud_actions.scale_out) {
     if (now_ < cloud_out_until_ || node->ZoneCut(now_)) {
-      node->cluster->OnRented(request.name, Cluster::RentOutcome::kUnknown, {}, now_);
+      node->cluster->OnScaleOutAnswered(request.name, Cluster::ScaleOutOutcome::kUnknown, {}, now_);
       continue;
     }
     if (!rented_.contains(request.name)) {
       if (!scripted_ && Chance(0.15)) {
-        node->cluster->OnRented(request.name, Cluster::RentOutcome::kNoCapacity, {}, now_);
+        node->cluster->OnScaleOutAnswered(request.name, Cluster::ScaleOutOutcome::kNoCapacity, {},
+                                          now_);
         continue;
       }
       auto& names = rented_[request.name];
@@ -369,26 +371,27 @@
         w.spot = request.spot;
         w.up_at = now_ + (troubles_ && Chance(0.05) ? 1e9 : Uniform(0.5, 12));
         w.lease_base = w.up_at;
-        w.next_report = w.up_at;
+        w.next_heartbeat_at = w.up_at;
         names.push_back(w.id);
         workers_[w.id] = w;
       }
     }
     const bool lost = troubles_ && !calm_ && Chance(0.2);
-    node->cluster->OnRented(request.name,
-                            lost ? Cluster::RentOutcome::kUnknown : Cluster::RentOutcome::kRented,
-                            lost ? std::vector<std::string>() : rented_[request.name], now_);
+    node->cluster->OnScaleOutAnswered(
+        request.name,
+        lost ? Cluster::ScaleOutOutcome::kUnknown : Cluster::ScaleOutOutcome::kProvisioned,
+        lost ? std::vector<std::string>() : rented_[request.name], now_);
   }
-  if (effects.remove.empty()) return;
+  if (cloud_actions.scale_in.empty()) return;
   const bool out = now_ < cloud_out_until_ || node->ZoneCut(now_);
   const bool lost = out || (troubles_ && !calm_ && Chance(0.2));
   if (!out) {
-    for (const auto& id : effects.remove) {
+    for (const auto& id : cloud_actions.scale_in) {
       workers_.erase(id);
-      deleted_.insert(id);
+      terminated_.insert(id);
     }
   }
-  node->cluster->OnDeleted(effects.remove, !lost, now_);
+  node->cluster->OnTerminated(cloud_actions.scale_in, !lost, now_);
 }
 
 bool World::AllOver() const {
--- a/tests/cluster_model.h
+++ b/tests/cluster_model.h
@@ -33,30 +33,30 @@
 // How often the histories reached what they are about. A history that can't get stuck proves
 // nothing.
 struct Coverage {
-  int deaf_leases = 0;         // a machine that did not hear began a new session
-  int deaf_takeovers = 0;      // a leader began while one did not hear
-  int late_at_new_leader = 0;  // a copy from an earlier term
-  int late_of_deleted = 0;     // a copy of a report of a machine that was deleted
-  int late_over_lease = 0;     // a copy older than a lease
-  int overtaken = 0;           // a copy that came before its original
-  int back_as_before = 0;      // a machine lost its tasks and went on with session and counter
-  int back_anew = 0;           // the same, but everything began anew, the token too
-  int lapsed_answers = 0;      // an old leader answered a worker
-  int early_ends = 0;          // earlier leaders were known to have ended in a takeover
-  int zone_cuts = 0;           // an old leader was cut off with the machines of a zone
-  int hung_leases = 0;         // a machine hung for longer than its lease
-  int hung_cancelled = 0;      // a task of a cancelled job was on a machine that hung
-  int all_away = 0;            // no controller for longer than a lease
-  int storms = 0;              // ten leader changes in a row
-  int changes_in_outage = 0;   // a leader began while the state service was out for the last one
-  int cancelled_at_end = 0;    // a cancellation met the end of the last task
-  int cancelled_behind = 0;    // a lapsed leader answered a worker after a later one had confirmed
-  int limit_takeovers = 0;     // a leader began while the team was at its limit
-  int zone_takeovers = 0;      // ... while a job of one zone had tasks on a silent machine
-  int repeats = 0;             // a submission of a known job, with another body
-  int notices = 0;             // the cloud said that it takes a machine away
-  int waiting_takeovers = 0;   // a leader began while a gang waited to be complete
-  int done_takeovers = 0;      // ... while a gang had completed and no leader had stored it
+  int downlink_lost_leases = 0;     // a machine that did not hear began a new session
+  int downlink_lost_failovers = 0;  // a leader began while one did not hear
+  int stale_at_new_leader = 0;      // a copy from an earlier term
+  int late_of_deleted = 0;          // a copy of a report of a machine that was deleted
+  int late_over_lease = 0;          // a copy older than a lease
+  int overtaken = 0;                // a copy that came before its original
+  int back_as_before = 0;           // a machine lost its tasks and went on with session and counter
+  int back_anew = 0;                // the same, but everything began anew, the token too
+  int expired_leader_responses = 0;  // an old leader answered a worker
+  int early_leader_ends = 0;         // earlier leaders were known to have ended in a takeover
+  int zone_cuts = 0;                 // an old leader was cut off with the machines of a zone
+  int hung_leases = 0;               // a machine hung for longer than its lease
+  int hung_cancelled = 0;            // a task of a cancelled job was on a machine that hung
+  int all_away = 0;                  // no controller for longer than a lease
+  int storms = 0;                    // ten leader changes in a row
+  int changes_in_outage = 0;  // a leader began while the state service was out for the last one
+  int cancelled_at_end = 0;   // a cancellation met the end of the last task
+  int cancelled_behind = 0;   // a lapsed leader answered a worker after a later one had confirmed
+  int quota_failovers = 0;    // a leader began while the team was at its limit
+  int zone_failovers = 0;     // ... while a job of one zone had tasks on a silent machine
+  int repeats = 0;            // a submission of a known job, with another body
+  int notices = 0;            // the cloud said that it takes a machine away
+  int waiting_failovers = 0;  // a leader began while a gang waited to be complete
+  int done_failovers = 0;     // ... while a gang had completed and no leader had stored it
 };
 inline Coverage coverage;
 
@@ -105,7 +105,7 @@
   bool ToldCancelled(const std::string& id) const { return told_.at(id).cancelled_at.has_value(); }
   bool ToldDone(const std::string& id) const { return told_.at(id).done; }
   // Tasks of the job that are on machines.
-  size_t Standing(const std::string& job) const;
+  size_t NodeHealth(const std::string& job) const;
   std::vector<std::string> Machines() const;
   // Those that hold tasks of the job.
   std::vector<std::string> MachinesOf(const std::string& job) const;
@@ -143,11 +143,11 @@
   void SubmitAgain(const std::string& id);
   void StateOut(double for_s) { store_out_until_ = now_ + for_s; }
   void CloudOut(double for_s) { cloud_out_until_ = now_ + for_s; }
-  void Mute(const std::vector<std::string>& machines, double for_s) {
+  void LoseUplink(const std::vector<std::string>& machines, double for_s) {
     for (const auto& id : machines) workers_.at(id).cut_until = now_ + for_s;
   }
-  void Deafen(const std::vector<std::string>& machines, double for_s) {
-    for (const auto& id : machines) workers_.at(id).deaf_until = now_ + for_s;
+  void LoseDownlink(const std::vector<std::string>& machines, double for_s) {
+    for (const auto& id : machines) workers_.at(id).downlink_lost_until = now_ + for_s;
   }
   void Hang(const std::vector<std::string>& machines, double for_s) {
     for (const auto& id : machines) workers_.at(id).hung_until = now_ + for_s;
@@ -164,7 +164,7 @@
   bool RunsInFull(const std::string& job) const;
   void Die(const std::vector<std::string>& machines);
   // The machine's next report reaches whoever leads then, this much later, and once more.
-  void CopyNextReport(const std::string& machine, double after_s) { copies_[machine] = after_s; }
+  void CopyNextHeartbeat(const std::string& machine, double after_s) { copies_[machine] = after_s; }
   double now() const { return now_; }
   const config::Settings& settings() const { return settings_; }
   Cluster& leader() { return *Current().cluster; }
@@ -174,14 +174,14 @@
 
   using Task = SimulatedTask;
   struct Flight {
-    wire::Report report;
+    wire::Heartbeat heartbeat;
     double sent_at = 0;
     double arrives_at = 0;
     size_t to = 0;
     bool arrived = false;
     bool answered = false;
     double answer_at = 0;
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
     std::vector<wire::Command> commands;
     double computed_at = 0;  // the answer
   };
@@ -192,12 +192,12 @@
     bool dead = false;
     bool was_back = false;
     double cut_until = 0;
-    double deaf_until = 0;    // its reports arrive, our answers don't
-    double hung_until = 0;    // it does nothing, and may go on
-    double notice_at = 1e18;  // the cloud takes it then, and has said so
-    uint64_t session = 1, seq = 0, token = 0;
+    double downlink_lost_until = 0;  // its reports arrive, our answers don't
+    double hung_until = 0;           // it does nothing, and may go on
+    double notice_at = 1e18;         // the cloud takes it then, and has said so
+    uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     double lease_base = 0;
-    double next_report = 0;
+    double next_heartbeat_at = 0;
     std::optional<Flight> flight;
     std::map<std::pair<std::string, uint64_t>, Task> tasks;
   };
@@ -244,14 +244,14 @@
 
   void Commit(Node* node, bool current);
 
-  void Apply(Node* node, const Effects& effects);
+  void Apply(Node* node, const CloudActions& cloud_actions);
 
   // What users are told: only by the leader, only while its lease is valid.
   void ReadAnswers(Node& node);
 
   void Step(Worker* w);
 
-  void SendReport(Worker* w);
+  void SendHeartbeat(Worker* w);
 
   void Deliver(Worker* w);
 
@@ -267,9 +267,9 @@
   // One line each for the observer, if there is one.
   void ObserveRecord(size_t leader, const std::string& key,
                      const std::optional<wire::Json>& value) const;
-  void ObserveCloudCalls(size_t leader, const Effects& effects) const;
+  void ObserveCloudCalls(size_t leader, const CloudActions& cloud_actions) const;
   void ObserveCommands(size_t leader, const std::string& machine,
-                       const Cluster::ReportResult& result) const;
+                       const Cluster::HeartbeatResult& result) const;
   void ObserveLine(size_t leader, const std::string& text) const;
   size_t IndexOf(const Node& node) const;
 
@@ -291,7 +291,7 @@
 
   std::mt19937_64 random_;
   const config::Settings settings_;
-  const config::OperatorSettings tuning_;
+  const config::OperatorSettings operator_settings_;
   const bool troubles_;
   const bool scripted_;
   double now_ = 0;
@@ -308,7 +308,7 @@
   std::set<std::string> completed_;
   std::map<std::pair<std::string, uint64_t>, std::string> attempts_;  // and their machines
   std::multimap<double, Flight> late_;                                // by when they arrive
-  std::set<std::string> deleted_;
+  std::set<std::string> terminated_;
   bool services_checked_ = false;
   double calm_since_ = 0;
   double away_until_ = 0;
--- a/tests/cluster_model_observer.cc
+++ b/tests/cluster_model_observer.cc
@@ -22,19 +22,19 @@
   ObserveLine(leader, "record " + key + ' ' + (value ? value->dump() : "deleted"));
 }
 
-void World::ObserveCloudCalls(size_t leader, const Effects& effects) const {
+void World::ObserveCloudCalls(size_t leader, const CloudActions& cloud_actions) const {
   if (!observer_) return;
-  for (const auto& request : effects.rent) {
+  for (const auto& request : cloud_actions.scale_out) {
     std::ostringstream text;
     text << "scale out " << request.name << ' ' << request.type << ' ' << request.zone << ' '
          << request.spot << ' ' << request.count;
     ObserveLine(leader, text.str());
   }
-  for (const auto& machine : effects.remove) ObserveLine(leader, "scale in " + machine);
+  for (const auto& machine : cloud_actions.scale_in) ObserveLine(leader, "scale in " + machine);
 }
 
 void World::ObserveCommands(size_t leader, const std::string& machine,
-                            const Cluster::ReportResult& result) const {
+                            const Cluster::HeartbeatResult& result) const {
   if (!observer_) return;
   if (result.refuse) ObserveLine(leader, "refuse " + machine);
   for (const wire::Command& command : result.commands) {
--- a/tests/cluster_model_oracle.cc
+++ b/tests/cluster_model_oracle.cc
@@ -8,7 +8,8 @@
   return std::all_of(told_.begin(), told_.end(), [&](const auto& entry) {
     const Told& told = entry.second;
     return told.done || told.cancelled_at ||
-           (told.spec.kind == wire::JobKind::kService && Standing(entry.first) == told.spec.tasks);
+           (told.spec.kind == wire::JobKind::kService &&
+            NodeHealth(entry.first) == told.spec.tasks);
   });
 }
 
--- a/tests/cluster_model_workers.cc
+++ b/tests/cluster_model_workers.cc
@@ -27,34 +27,34 @@
       task.phase = wire::TaskPhase::kEnded;
       task.cause = wire::EndCause::kDone;
       completed_.insert(key.first);
-      w->next_report = std::min(w->next_report, now_ + 0.5);
+      w->next_heartbeat_at = std::min(w->next_heartbeat_at, now_ + 0.5);
     }
   }
   if (now_ - w->lease_base > settings_.lease_s) {
-    if (now_ < w->deaf_until) ++coverage.deaf_leases;
+    if (now_ < w->downlink_lost_until) ++coverage.downlink_lost_leases;
     w->tasks.clear();
-    ++w->session;
+    ++w->agent_epoch;
     w->lease_base = now_;
     w->flight.reset();
   }
   if (now_ < w->hung_until) return;
   if (w->flight) {
     Deliver(w);
-  } else if (now_ >= w->next_report) {
-    SendReport(w);
+  } else if (now_ >= w->next_heartbeat_at) {
+    SendHeartbeat(w);
   }
 }
 
-void World::SendReport(Worker* w) {
+void World::SendHeartbeat(Worker* w) {
   Flight flight;
-  wire::Report& r = flight.report;
+  wire::Heartbeat& r = flight.heartbeat;
   r.machine = w->id;
   r.type = w->type;
   r.zone = w->zone;
   r.spot = w->spot;
-  r.session = w->session;
-  r.seq = ++w->seq;
-  r.token = w->token;
+  r.agent_epoch = w->agent_epoch;
+  r.sequence = ++w->sequence;
+  r.fencing_token = w->fencing_token;
   for (const auto& [key, task] : w->tasks) {
     r.tasks.push_back(
         {*wire::ParseTaskName(key.first), key.second, task.phase, task.cause, task.saved});
@@ -97,23 +97,23 @@
       late_.emplace(now_ + Uniform(0.5, 3 * settings_.lease_s), f);
     }
   }
-  if (f.answered && now_ >= f.answer_at && !cut && now_ >= w->deaf_until) {
+  if (f.answered && now_ >= f.answer_at && !cut && now_ >= w->downlink_lost_until) {
     const Flight done = std::move(f);
     w->flight.reset();
-    w->next_report = now_ + settings_.report_s * Uniform(0.75, 1.25);
-    if (now_ - done.sent_at > kPatience || done.token < w->token ||
-        done.report.session != w->session) {
+    w->next_heartbeat_at = now_ + settings_.heartbeat_interval_s * Uniform(0.75, 1.25);
+    if (now_ - done.sent_at > kPatience || done.fencing_token < w->fencing_token ||
+        done.heartbeat.agent_epoch != w->agent_epoch) {
       return;
     }
-    if (done.token > w->token) w->next_report = now_ + 0.5;
-    w->token = done.token;
+    if (done.fencing_token > w->fencing_token) w->next_heartbeat_at = now_ + 0.5;
+    w->fencing_token = done.fencing_token;
     w->lease_base = done.sent_at;
     for (const auto& command : done.commands) Execute(w, command, done.computed_at);
     return;
   }
   if (now_ - f.sent_at > kPatience) {
     w->flight.reset();
-    w->next_report = now_ + 1;
+    w->next_heartbeat_at = now_ + 1;
   }
 }
 
@@ -122,8 +122,8 @@
     Flight f = late_.begin()->second;
     late_.erase(late_.begin());
     f.to = scripted_ || Chance(0.7) ? nodes_.size() - 1 : random_() % nodes_.size();
-    if (f.report.token < nodes_[f.to].cluster->term()) ++coverage.late_at_new_leader;
-    if (deleted_.contains(f.report.machine)) ++coverage.late_of_deleted;
+    if (f.heartbeat.fencing_token < nodes_[f.to].cluster->term()) ++coverage.stale_at_new_leader;
+    if (terminated_.contains(f.heartbeat.machine)) ++coverage.late_of_deleted;
     if (now_ - f.sent_at > settings_.lease_s) ++coverage.late_over_lease;
     Answer(&f);
   }
@@ -132,27 +132,27 @@
 void World::Answer(Flight* f) {
   Node& node = nodes_[f->to];
   if (!node.alive || now_ < node.cut_until) return;
-  if (f->report.token > node.cluster->term()) {
+  if (f->heartbeat.fencing_token > node.cluster->term()) {
     node.alive = false;  // it has learned of a newer term and steps down
     return;
   }
   if (now_ >= node.valid_until + Cluster::KeepAliveLimit(settings_)) return;
-  const bool lapsed = now_ >= node.valid_until;
-  if (lapsed) {
-    ++coverage.lapsed_answers;
+  const bool lease_expired = now_ >= node.valid_until;
+  if (lease_expired) {
+    ++coverage.expired_leader_responses;
     for (const auto& [id, told] : told_) {
       if (!told.cancelled_at || *told.cancelled_at < node.valid_until) continue;
       ++coverage.cancelled_behind;
       break;
     }
   }
-  Cluster::ReportResult result = node.cluster->OnReport(f->report, now_, lapsed);
-  ObserveCommands(f->to, f->report.machine, result);
+  Cluster::HeartbeatResult result = node.cluster->OnHeartbeat(f->heartbeat, now_, lease_expired);
+  ObserveCommands(f->to, f->heartbeat.machine, result);
   if (result.refuse || Chance(troubles_ ? 0.05 : 0)) return;
   f->answered = true;
   f->computed_at = now_;
   f->answer_at = now_ + (!scripted_ && Chance(0.05) ? Uniform(0, 6) : Uniform(0, 0.2));
-  f->token = node.cluster->term();
+  f->fencing_token = node.cluster->term();
   f->commands = std::move(result.commands);
 }
 
@@ -171,12 +171,12 @@
     case wire::CommandOp::kStop:
       if (it == w->tasks.end() || !it->second.Live()) return;
       if (OfGang(key.first)) {
-        gangs_.OnHalt(told_.at(command.task.job).spec, &it->second, command.grace_s, now_);
+        gangs_.OnStop(told_.at(command.task.job).spec, &it->second, command.grace_s, now_);
       } else {
-        it->second.End(wire::EndCause::kHalted);
+        it->second.End(wire::EndCause::kStopped);
       }
       return;
-    case wire::CommandOp::kForget:
+    case wire::CommandOp::kAcknowledgeCompletion:
       if (it != w->tasks.end() && !it->second.Live()) w->tasks.erase(it);
       return;
   }
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -5,20 +5,20 @@
 #include <gtest/gtest.h>
 
 #include "election/elector.h"
+#include "fault_injection/fakes.h"
 #include "fixtures.h"
-#include "rehearsal/stand_ins.h"
 
 namespace zinclead::state {
 namespace {
 
-using rehearsal::StandInStore;
+using fault_injection::FakeStore;
 using wire::Json;
 
 class CommitterTest : public ::testing::Test {
  protected:
   CommitterTest() : standin_(&loop_), settings_(testing::MakeSettings()) {
     settings_.state.port = standin_.port();
-    settings_.report_s = 0.4;  // time-outs and retries are ratios to it
+    settings_.heartbeat_interval_s = 0.4;  // time-outs and retries are ratios to it
     store_ = std::make_unique<StoreClient>(&loop_, settings_);
     standin_.Execute(
         {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "us"}}}}});
@@ -29,21 +29,21 @@
     const uint64_t fence = standin_.entries()[election::kLeaderKey].version;
     committer_ =
         std::make_unique<Committer>(&loop_, store_.get(), settings_, &mutex_, cluster_.get(),
-                                    wire::StoreCondition{election::kLeaderKey, fence},
+                                    wire::VersionPrecondition{election::kLeaderKey, fence},
                                     std::unordered_map<std::string, uint64_t>(),
                                     Committer::Hooks{[] {}, [this] { fenced_ = true; }});
   }
-  bool Until(const std::function<bool()>& done) { return rehearsal::RunUntil(&loop_, done); }
+  bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
   void Submit(const std::string& id) {
     std::string error;
     ASSERT_EQ(cluster_->Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow(), &error),
               core::SubmitOutcome::kAccepted);
-    committer_->Kick();
+    committer_->Flush();
   }
   bool Durable(const std::string& id) { return cluster_->View(id)->stored; }
 
   net::EventLoop loop_;
-  StandInStore standin_;
+  FakeStore standin_;
   config::Settings settings_;
   std::unique_ptr<StoreClient> store_;
   std::mutex mutex_;
@@ -54,8 +54,9 @@
 
 TEST_F(CommitterTest, UnansweredCommitIsResolvedByReadingBack) {
   int lost = 0;
-  standin_.fate = [&](const Json&) {
-    return lost++ < 1 ? StandInStore::Fate::kExecutedUnanswered : StandInStore::Fate::kNormal;
+  standin_.inject_fault = [&](const Json&) {
+    return lost++ < 1 ? FakeStore::InjectedFault::kExecutedUnanswered
+                      : FakeStore::InjectedFault::kNormal;
   };
   Submit("req-000001");
   EXPECT_FALSE(Durable("req-000001"));
@@ -63,14 +64,14 @@
   EXPECT_FALSE(fenced_);
   // Later writes go on from the version that was read back.
   cluster_->Cancel("req-000001");
-  committer_->Kick();
+  committer_->Flush();
   ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
 }
 
 TEST_F(CommitterTest, RefusedCommitIsRepeatedAndNothingIsToldBefore) {
   int refused = 0;
-  standin_.fate = [&](const Json&) {
-    return refused++ < 3 ? StandInStore::Fate::kRefused : StandInStore::Fate::kNormal;
+  standin_.inject_fault = [&](const Json&) {
+    return refused++ < 3 ? FakeStore::InjectedFault::kRefused : FakeStore::InjectedFault::kNormal;
   };
   Submit("req-000001");
   ASSERT_TRUE(Until([&] { return refused >= 3; }));
@@ -81,14 +82,14 @@
 // Guards against a repeated old write undoing a newer one: the fence alone would let it through.
 TEST_F(CommitterTest, LateCopyOfAnOwnCommitHasNoEffect) {
   std::vector<Json> seen;
-  standin_.fate = [&](const Json& txn) {
+  standin_.inject_fault = [&](const Json& txn) {
     seen.push_back(txn);
-    return StandInStore::Fate::kNormal;
+    return FakeStore::InjectedFault::kNormal;
   };
   Submit("req-000001");
   ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
   cluster_->Cancel("req-000001");
-  committer_->Kick();
+  committer_->Flush();
   ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
   for (const Json& txn : seen) EXPECT_EQ(standin_.Execute(txn).first, 409);
   EXPECT_EQ(standin_.entries()["zinclead/job/req-000001"].value["final"], "cancelled");
@@ -98,24 +99,25 @@
 // that created it would bring a machine back that is long gone.
 TEST_F(CommitterTest, LateCopyBringsNoDeletedRecordBack) {
   std::vector<Json> created;
-  standin_.fate = [&](const Json& txn) {
+  standin_.inject_fault = [&](const Json& txn) {
     created.push_back(txn);
     // The first try gets no answer, and is still under way.
-    return created.size() == 1 ? StandInStore::Fate::kLost : StandInStore::Fate::kNormal;
+    return created.size() == 1 ? FakeStore::InjectedFault::kLost
+                               : FakeStore::InjectedFault::kNormal;
   };
-  wire::Report report;
-  report.machine = "i-000001";
-  report.type = "c4";
-  report.zone = "a";
-  report.session = report.seq = 1;
-  report.token = 1;
-  cluster_->OnReport(report, net::SteadyNow());
-  committer_->Kick();
+  wire::Heartbeat heartbeat;
+  heartbeat.machine = "i-000001";
+  heartbeat.type = "c4";
+  heartbeat.zone = "a";
+  heartbeat.agent_epoch = heartbeat.sequence = 1;
+  heartbeat.fencing_token = 1;
+  cluster_->OnHeartbeat(heartbeat, net::SteadyNow());
+  committer_->Flush();
   const std::string key = "zinclead/machines/adopted-i-000001";
   ASSERT_TRUE(Until([&] { return standin_.entries().contains(key); }));
-  ASSERT_TRUE(Until([&] { return !cluster_->HasDirty(); }));
-  cluster_->OnDeleted({"i-000001"}, true, net::SteadyNow());
-  committer_->Kick();
+  ASSERT_TRUE(Until([&] { return !cluster_->HasQueuedRecords(); }));
+  cluster_->OnTerminated({"i-000001"}, true, net::SteadyNow());
+  committer_->Flush();
   ASSERT_TRUE(Until([&] {
     return !standin_.entries().contains(key) ||
            standin_.entries()[key].value == core::EmptiedRecord();
@@ -128,22 +130,22 @@
   for (const auto& [k, entry] : standin_.entries()) next.LoadRecord(k, entry.value);
   next.FinishLoading(net::SteadyNow());
   EXPECT_TRUE(next.machines().empty());
-  const auto dirty = next.TakeDirty(8);
+  const auto dirty = next.DequeueRecords(8);
   ASSERT_EQ(dirty.size(), 1U);
   EXPECT_EQ(dirty[0], key);
-  EXPECT_FALSE(next.Render(key).has_value());
+  EXPECT_FALSE(next.Serialize(key).has_value());
 }
 
 // The service's limits may be lowered without notice: nothing stalls, and what is at fault by
 // itself keeps nobody waiting.
 TEST_F(CommitterTest, LoweredLimitsStallNothing) {
   size_t most = 2;
-  standin_.fate = [&](const Json& txn) {
+  standin_.inject_fault = [&](const Json& txn) {
     const bool at_fault =
         txn["writes"].size() > most ||
         std::any_of(txn["writes"].begin(), txn["writes"].end(),
                     [](const Json& w) { return w.value("put", "") == "zinclead/job/req-7"; });
-    return at_fault ? StandInStore::Fate::kMalformed : StandInStore::Fate::kNormal;
+    return at_fault ? FakeStore::InjectedFault::kMalformed : FakeStore::InjectedFault::kNormal;
   };
   for (int i = 0; i < 20; ++i) Submit("req-" + std::to_string(i));
   ASSERT_TRUE(Until([&] {
@@ -161,10 +163,10 @@
   constexpr int kRecords = 12;
   int asked = 0;
   int refused = 0;
-  standin_.fate = [&](const Json&) {
-    if (++asked % 4 == 0) return StandInStore::Fate::kNormal;
+  standin_.inject_fault = [&](const Json&) {
+    if (++asked % 4 == 0) return FakeStore::InjectedFault::kNormal;
     ++refused;
-    return StandInStore::Fate::kTooMany;
+    return FakeStore::InjectedFault::kTooMany;
   };
   const double began = net::SteadyNow();
   for (int i = 0; i < kRecords; ++i) Submit("req-" + std::to_string(i));
@@ -175,7 +177,7 @@
     return true;
   }));
   EXPECT_GT(refused, 0);
-  const double retry_s = settings_.report_s / 10;
+  const double retry_s = settings_.heartbeat_interval_s / 10;
   EXPECT_LE(refused, (net::SteadyNow() - began) / retry_s + 1) << "repeated without a pause";
 }
 
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -53,10 +53,10 @@
 }
 // Stores one record. Returns false if the state service refuses it for its size.
 bool StoreOne(Cluster* cluster, Records* records, double limit_kb, double now) {
-  const std::string key = cluster->TakeDirty(1).at(0);
-  const std::optional<wire::Json> value = cluster->Render(key);
+  const std::string key = cluster->DequeueRecords(1).at(0);
+  const std::optional<wire::Json> value = cluster->Serialize(key);
   if (value && static_cast<double>(value->dump().size()) > limit_kb * 1024) {
-    cluster->OnNotStored(key);
+    cluster->Requeue(key);
     return false;
   }
   if (value) {
@@ -82,7 +82,7 @@
   EXPECT_EQ(leader->View("req-000005")->phase, wire::JobPhase::kCancelled);
   EXPECT_EQ(leader->View("req-000006")->done, 60U);
   EXPECT_EQ(leader->machines().size(), 3U);
-  EXPECT_TRUE(leader->machines().at("i-000001")->may_hold_tasks);
+  EXPECT_TRUE(leader->machines().at("i-000001")->dispatchable);
   EXPECT_TRUE(leader->HasMachineTypes());
 }
 
@@ -93,25 +93,25 @@
   const auto leader = Leader(records, GetParam().value_kb, 4, 100.9);
   for (const auto& [key, value] : records) {
     if (value.contains("final") && value["final"] == "done") continue;  // never written again
-    const auto rendered = leader->Render(key);
-    ASSERT_TRUE(rendered.has_value()) << key;
-    EXPECT_EQ(*rendered, value) << key;
+    const auto in_flight = leader->Serialize(key);
+    ASSERT_TRUE(in_flight.has_value()) << key;
+    EXPECT_EQ(*in_flight, value) << key;
   }
 }
 
 TEST_P(OlderVersion, MessagesAreUnderstoodAndWrittenAlike) {
   const wire::Json fixture = Fixture(GetParam());
   std::string error;
-  const auto report = wire::ParseReport(fixture["report"].dump(), &error);
-  ASSERT_TRUE(report.has_value()) << error;
-  EXPECT_EQ(wire::ToJson(*report), fixture["report"]);
+  const auto heartbeat = wire::ParseHeartbeat(fixture["report"].dump(), &error);
+  ASSERT_TRUE(heartbeat.has_value()) << error;
+  EXPECT_EQ(wire::ToJson(*heartbeat), fixture["report"]);
   const auto call = wire::ParseForwardedRequest(fixture["forward"].dump());
   ASSERT_TRUE(call.has_value());
   EXPECT_EQ(wire::ToJson(*call), fixture["forward"]);
   const auto answer = wire::ParseForwardedResponse(fixture["forwarded"].dump());
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(wire::ToJson(*answer), fixture["forwarded"]);
-  const auto notice = wire::ParseLeaderNotice(fixture["notice"].dump());
+  const auto notice = wire::ParseLeaderAnnouncement(fixture["notice"].dump());
   ASSERT_TRUE(notice.has_value());
   EXPECT_EQ(wire::ToJson(*notice), fixture["notice"]);
   std::vector<wire::Command> commands;
@@ -129,7 +129,7 @@
   Records records = FixtureRecords(GetParam());
   const auto leader = Leader(records, kLoweredKb, 4);
   int steps = 0;
-  while (leader->HasDirty()) {
+  while (leader->HasQueuedRecords()) {
     ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 200));
     ASSERT_LT(++steps, 1000) << "writes without an end";
     for (const double reader_kb : {64.0, 32.0, kLoweredKb}) {
@@ -159,25 +159,25 @@
   const auto leader = Leader(records, kLoweredKb, 4);
   ASSERT_EQ(leader->jobs().at("req-1")->chunk_split, ChunkSplit::kNone);
   leader->OnMachineTypes({testing::MakeType("c4", 4, 1.0)});
-  wire::Report report;
-  report.machine = "i-1";
-  report.type = "c4";
-  report.zone = "a";
-  report.session = 1;
-  report.token = 4;
+  wire::Heartbeat heartbeat;
+  heartbeat.machine = "i-1";
+  heartbeat.type = "c4";
+  heartbeat.zone = "a";
+  heartbeat.agent_epoch = 1;
+  heartbeat.fencing_token = 4;
   for (int seen = 0; seen < 2; ++seen) {
-    ++report.seq;
-    leader->OnReport(report, 201 + seen);
-    while (leader->HasDirty()) StoreOne(leader.get(), &records, kLoweredKb, 202);
+    ++heartbeat.sequence;
+    leader->OnHeartbeat(heartbeat, 201 + seen);
+    while (leader->HasQueuedRecords()) StoreOne(leader.get(), &records, kLoweredKb, 202);
   }
   // Of the first chunk every second task has ended: over 4 KiB as text.
   for (uint32_t i = 0; i < 2000; i += 2) {
-    report.tasks.push_back(
+    heartbeat.tasks.push_back(
         {{"req-1", i}, MakeAttempt(3, i), wire::TaskPhase::kEnded, wire::EndCause::kDone, false});
   }
-  ++report.seq;
-  leader->OnReport(report, 203);
-  while (leader->HasDirty()) ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 203));
+  ++heartbeat.sequence;
+  leader->OnHeartbeat(heartbeat, 203);
+  while (leader->HasQueuedRecords()) ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 203));
   EXPECT_GE(DoneIn(records, "req-1", GetParam().value_kb), 400U + 300U);
 }
 
@@ -190,7 +190,7 @@
   records["zinclead/job/req-000009"] = {
       {"spec", wire::ToJson(spec)}, {"accepted_ms", 1100000}, {"chunk", 4096}};
   const auto leader = Leader(records, kLoweredKb, 4);
-  while (leader->HasDirty()) StoreOne(leader.get(), &records, kLoweredKb, 200);
+  while (leader->HasQueuedRecords()) StoreOne(leader.get(), &records, kLoweredKb, 200);
   ASSERT_EQ(leader->Cancel("req-000009"), CancelOutcome::kPendingStore);
   ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 200));
   EXPECT_EQ(leader->View("req-000009")->phase, wire::JobPhase::kCancelled);
@@ -206,7 +206,7 @@
  public:
   explicit MixedHistory(uint32_t seed) : random_(seed), tasks_(1 + random_() % 3000) {}
 
-  void Play() {
+  void RunScenario() {
     NextLeader();
     std::string error;
     wire::JobSpec spec = testing::MakeJob("req-1", tasks_);
@@ -221,7 +221,7 @@
       if (step < kTroubledSteps && stored_job_ && random_() % 12 == 0) NextLeader();
       if (step == kTroubledSteps && value_kb_ > kLoweredKb) NextLeader(kLoweredKb);
       if (::testing::Test::HasFatalFailure()) return;
-      Report();
+      Heartbeat();
       Store();
       now_ += 1;
     }
@@ -258,23 +258,23 @@
   }
 
   // The one machine: some of its tasks have ended since its last report.
-  void Report() {
-    wire::Report report;
-    report.machine = "i-1";
-    report.type = "c4";
-    report.zone = "a";
-    report.session = 1;
-    report.seq = ++seq_;
-    report.token = token_;
+  void Heartbeat() {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = "i-1";
+    heartbeat.type = "c4";
+    heartbeat.zone = "a";
+    heartbeat.agent_epoch = 1;
+    heartbeat.sequence = ++sequence_;
+    heartbeat.fencing_token = token_;
     for (auto& [index, task] : listed_) {
       if (task.phase == wire::TaskPhase::kRunning && random_() % 60 == 0) {
         task.phase = wire::TaskPhase::kEnded;
         task.cause = wire::EndCause::kDone;
         ended_.insert(index);
       }
-      report.tasks.push_back(task);
+      heartbeat.tasks.push_back(task);
     }
-    const auto result = leader_->OnReport(report, now_);
+    const auto result = leader_->OnHeartbeat(heartbeat, now_);
     token_ = term_;
     for (const wire::Command& command : result.commands) {
       const uint32_t index = command.task.index;
@@ -282,11 +282,11 @@
         ASSERT_FALSE(ended_.contains(index)) << "a task that was done starts again: " << index;
         listed_[index] = {command.task, command.attempt, wire::TaskPhase::kRunning,
                           wire::EndCause::kNone, false};
-      } else if (command.op == wire::CommandOp::kForget) {
+      } else if (command.op == wire::CommandOp::kAcknowledgeCompletion) {
         listed_.erase(index);
       } else if (listed_.contains(index)) {
         listed_[index].phase = wire::TaskPhase::kEnded;
-        listed_[index].cause = wire::EndCause::kHalted;
+        listed_[index].cause = wire::EndCause::kStopped;
       }
     }
   }
@@ -294,11 +294,12 @@
   void Store() {
     // Now and then the first record waits and another one goes ahead of it.
     std::vector<std::string> waiting;
-    if (random_() % 3 == 0) waiting = leader_->TakeDirty(1);
-    for (int left = static_cast<int>(random_() % 4); left > 0 && leader_->HasDirty(); --left) {
+    if (random_() % 3 == 0) waiting = leader_->DequeueRecords(1);
+    for (int left = static_cast<int>(random_() % 4); left > 0 && leader_->HasQueuedRecords();
+         --left) {
       if (!StoreOne(leader_.get(), &records_, limit_kb_, now_)) ++refused;
     }
-    for (const std::string& key : waiting) leader_->OnNotStored(key);
+    for (const std::string& key : waiting) leader_->Requeue(key);
     const auto view = leader_->View("req-1");
     stored_job_ = view && view->stored;
     if (stored_job_) stored_ = std::max(stored_, view->done);
@@ -310,19 +311,19 @@
   double limit_kb_ = 64;
   double value_kb_ = 0;
   double now_ = 100;
-  uint64_t term_ = 0, token_ = 0, seq_ = 0;
+  uint64_t term_ = 0, token_ = 0, sequence_ = 0;
   uint32_t stored_ = 0;
   bool stored_job_ = false;
   Records records_;
   std::unique_ptr<Cluster> leader_;
-  std::map<uint32_t, wire::ReportedTask> listed_;
+  std::map<uint32_t, wire::TaskStatus> listed_;
   std::set<uint32_t> ended_;
 };
 
 TEST(MixedVersions, ProgressSurvivesLeadersOfBothFormatsAndLoweredLimits) {
   for (uint32_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    MixedHistory(seed).Play();
+    MixedHistory(seed).RunScenario();
     if (HasFailure()) return;
   }
   EXPECT_GT(MixedHistory::limits_lowered, 50);
