--- /dev/null
+++ b/src/core/cluster_state.h
@@ -0,0 +1,108 @@
+// The state of one term of leadership: jobs, machines, attempts and what follows from them. Built
+// from the stored records when the term begins, thrown away when it ends. The classes beside it
+// decide on it and keep its counts; it has no behaviour of its own.
+#ifndef ZINCLEAD_CORE_CLUSTER_STATE_H_
+#define ZINCLEAD_CORE_CLUSTER_STATE_H_
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <random>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+#include <utility>
+#include <vector>
+
+#include "admission/admission_policy.h"
+#include "config/operator_settings.h"
+#include "config/settings.h"
+#include "core/cycle_rate_limiter.h"
+#include "core/gang_arrivals.h"
+#include "core/job.h"
+#include "core/machine.h"
+#include "core/scale_out_record.h"
+#include "core/token_bucket.h"
+
+namespace zinclead::core {
+
+struct ClusterState {
+  // `now` is on the steady clock, `wall_now` the time of day, both in seconds.
+  ClusterState(const config::Settings& platform_settings, const config::OperatorSettings& operators,
+               uint64_t leader_term, double now, double wall_now, uint64_t random_seed,
+               Clock clock);
+  ClusterState(const ClusterState&) = delete;
+  ClusterState& operator=(const ClusterState&) = delete;
+
+  // Null if no such job is known, or it is over and nothing of it is left on any machine.
+  Job* FindJob(const std::string& id) const;
+  // A job of which nothing has started. The caller adds it to `jobs`.
+  std::unique_ptr<Job> NewJob(const wire::JobSpec& spec, int64_t accepted_ms, double accepted_at);
+
+  const config::Settings settings;
+  const config::OperatorSettings operator_settings;
+  const admission::Limits admission_limits;
+  admission::AdmissionPolicy admission;
+  const uint64_t term;
+  const double started_at;
+  double earlier_leader_deadline;  // until then an earlier leader may keep leases alive
+  const double wall_offset;        // wall clock minus steady clock
+  std::mt19937_64 random;
+  uint64_t next_serial = 1;
+  uint64_t heartbeat_count = 0;
+  uint32_t next_attempt = 1;
+  uint32_t next_scale_out = 1;
+
+  // Jobs that are over and have nothing left on any machine; kept for good.
+  struct FinishedJob {
+    FinalState state;
+    uint32_t tasks;
+  };
+  std::unordered_map<std::string, FinishedJob> finished;
+  std::unordered_map<std::string, std::unique_ptr<Job>> jobs;
+  // Jobs that are neither done nor cancelled durably, or that may still have tasks on machines,
+  // in the order of their acceptance.
+  std::map<std::pair<int64_t, std::string>, Job*> active_jobs;
+  std::map<std::string, std::unique_ptr<Machine>> machines;
+  std::unordered_map<std::string, std::unique_ptr<ScaleOutRecord>> scale_outs;
+  std::unordered_set<std::string> terminated;  // machines whose deletion was answered
+  std::map<std::string, size_t> machines_in_zone;
+  std::map<std::string, wire::MachineType> types;
+  std::map<std::string, Resources> team_usage;
+  // Services' attempts whose start is in no answer yet, the oldest job's first.
+  std::map<AttemptKey, Attempt*> unsent_services;
+  // Offers (type, zone and kind) that the cloud had too few of are left alone, for longer each
+  // time.
+  struct CapacityBackoff {
+    double until = 0;
+    double backoff_s = 0;
+  };
+  std::map<std::string, CapacityBackoff> capacity_backoffs;
+  TokenBucket scale_out_rate_limiter;
+
+  // Done chunks that were read before their job.
+  std::map<std::string, std::map<uint32_t, std::string>> loaded_done;
+  std::vector<std::string> durable_state_changes;
+  // By how many tasks the spare room for production services (Machine::headroom_slots) was more
+  // than is wanted in the last pass.
+  int headroom_surplus = 0;
+  // Room that the last pass kept for gangs that have waited too long, by machine.
+  std::map<std::string, Resources> starved_gang_reservations;
+  // Room that the last pass kept free for gangs to come, by machine.
+  std::map<std::string, Resources> gang_headroom;
+  GangArrivals gang_arrivals;
+  bool reconciled = false;
+  bool schedule_due = true;
+  double next_wake = 0;
+  double retry_at = 0;  // when pending jobs are tried again even if nothing has changed
+  CycleRateLimiter cycle_rate_limiter;
+  double next_migration_at = 0;  // no service is moved before
+};
+
+// How long after the start of a term a silent machine's agent epoch may still be kept alive by an
+// earlier leader that has lost the state service, in seconds.
+double KeepAliveLimit(const config::Settings& settings);
+
+}  // namespace zinclead::core
+
+#endif  // ZINCLEAD_CORE_CLUSTER_STATE_H_
--- /dev/null
+++ b/src/core/durable_state.cc
@@ -0,0 +1,280 @@
+#include "core/durable_state.h"
+
+#include <cmath>
+#include <cstdlib>
+#include <utility>
+
+namespace zinclead::core {
+namespace {
+
+using wire::Json;
+
+// What the name of the done set and its quotes take in a job's record.
+constexpr size_t kDoneFieldBytes = 16;
+
+bool StartsWith(const std::string& text, std::string_view prefix) {
+  return text.compare(0, prefix.size(), prefix) == 0;
+}
+
+// Of a cancelled job the record keeps what may be left of it on machines: what it takes there, and
+// its team. The longest texts go, so that the cancellation can be stored whatever the limits.
+wire::JobSpec Shortened(wire::JobSpec spec) {
+  spec.types.reset();
+  spec.image.clear();
+  spec.job_class.clear();
+  return spec;
+}
+
+}  // namespace
+
+bool DurableState::LoadRecord(const std::string& key, const Json& value) {
+  if (value == EmptiedRecord()) {
+    queue_.Enqueue(key, Importance::kBackground);  // to be deleted now
+    return true;
+  }
+  if (StartsWith(key, kJobPrefix)) return LoadJob(key.substr(kJobPrefix.size()), value);
+  if (StartsWith(key, kMachinePrefix))
+    return LoadScaleOut(key.substr(kMachinePrefix.size()), value);
+  if (StartsWith(key, kTypePrefix)) {
+    auto type = wire::MachineTypeFromJson(value);
+    if (!type) return false;
+    state_.types[type->name] = *type;
+    return true;
+  }
+  if (StartsWith(key, kDonePrefix)) {
+    const std::string rest = key.substr(kDonePrefix.size());
+    const size_t slash = rest.find('/');
+    if (slash == std::string::npos || !value.is_string()) return false;
+    state_.loaded_done[rest.substr(0, slash)]
+                      [static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10))] =
+        value.get<std::string>();
+    return true;
+  }
+  return true;  // another package's record
+}
+
+bool DurableState::LoadJob(const std::string& id, const Json& value) {
+  if (!value.is_object()) return false;
+  const std::string final_state = value.value("final", std::string());
+  if (final_state == "done") {
+    state_.finished[id] = {FinalState::kDone, value.value("tasks", 0U)};
+    return true;
+  }
+  std::string error;
+  auto spec = wire::JobSpecFromJson(value.value("spec", Json()), &error);
+  if (!spec || spec->id != id) return false;
+  const int64_t accepted_ms = value.value("accepted_ms", int64_t{0});
+  auto job = state_.NewJob(*spec, accepted_ms,
+                           static_cast<double>(accepted_ms) / 1000 - state_.wall_offset);
+  job->stored = true;
+  job->inherited = true;
+  job->done_chunk = std::max(1U, value.value("chunk", job->done_chunk));
+  if (final_state == "cancelled") {
+    // Kept whole for a while: what may be left of it on machines counts for its team.
+    job->final_state = FinalState::kCancelled;
+    job->cancel_wanted = true;
+  } else {
+    state_.active_jobs[{job->accepted_ms, id}] = job.get();
+    state_.admission.AddActive(job->spec.team);
+    state_.admission.AddAccepted(id, job->accepted_at, state_.started_at);
+    progress_.ApplyDone(job.get(), 0, value.value("done", std::string()));
+  }
+  state_.jobs[id] = std::move(job);
+  return true;
+}
+
+bool DurableState::LoadScaleOut(const std::string& name, const Json& value) {
+  if (!value.is_object()) return false;
+  auto scale_out = std::make_unique<ScaleOutRecord>();
+  scale_out->name = name;
+  scale_out->type = value.value("type", std::string());
+  scale_out->zone = value.value("zone", std::string());
+  scale_out->spot = value.value("spot", false);
+  scale_out->count = value.value("count", 0);
+  scale_out->adopted = value.value("adopted", false);
+  scale_out->stored = true;
+  scale_out->requested_at =
+      std::min(state_.started_at, static_cast<double>(value.value("asked_ms", int64_t{0})) / 1000 -
+                                      state_.wall_offset);
+  const auto machines = value.find("machines");
+  if (machines != value.end() && machines->is_object()) {
+    scale_out->answered = true;
+    for (const auto& [id, dispatch_mark] : machines->items()) {
+      scale_out->machines[id] = dispatch_mark.is_number_integer() && dispatch_mark.get<int>() == 1;
+    }
+  }
+  state_.scale_outs[name] = std::move(scale_out);
+  return true;
+}
+
+void DurableState::FinishLoading(double now) {
+  for (auto& [id, chunks] : state_.loaded_done) {
+    Job* job = state_.FindJob(id);
+    for (auto& [chunk, text] : chunks) {
+      if (job != nullptr && job->final_state == FinalState::kNone) {
+        progress_.ApplyDone(job, chunk * job->done_chunk, text);
+      } else {
+        queue_.Enqueue(ProgressKey(id, chunk), Importance::kBackground);  // left over: delete it
+      }
+    }
+  }
+  state_.loaded_done.clear();
+  for (auto& [name, scale_out] : state_.scale_outs) {
+    for (auto& [id, held] : scale_out->machines) {
+      Machine* m = registry_.AddMachine(id, scale_out.get(), now);
+      m->dispatchable = held;
+      // One that may hold tasks was up once. It must be heard of before anything is placed on it.
+      if (held) m->stage = MachineStage::kUp;
+    }
+  }
+  for (auto& [key, job] : state_.active_jobs) {
+    if (job->AllDone()) {
+      queue_.Enqueue(JobKey(job->spec.id), Importance::kUser);
+    } else if (job->done_chunk > progress_.ChunkSize()) {
+      progress_.BeginChunkSplit(job);
+    }
+  }
+  reconciler_.CheckReconciled();
+  state_.schedule_due = true;
+}
+
+Json DurableState::SerializeJob(const std::string& key, Job* job) {
+  InFlightWrite& in_flight = queue_.BeginWrite(key);
+  if (job->final_state == FinalState::kDone ||
+      (job->AllDone() && job->final_state == FinalState::kNone && !job->cancel_wanted)) {
+    in_flight.final_state = FinalState::kDone;
+    return {{"final", "done"}, {"tasks", job->spec.tasks}};
+  }
+  Json json{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
+  if (job->cancel_wanted) {
+    in_flight.final_state = FinalState::kCancelled;
+    json["final"] = "cancelled";
+    if (json.dump().size() > state_.settings.ValueBytes()) {
+      json["spec"] = wire::ToJson(Shortened(job->spec));
+    }
+    return json;
+  }
+  in_flight.chunk = job->done_chunk;
+  if (job->chunk_split == ChunkSplit::kCollapsing) in_flight.chunk = job->spec.tasks;
+  if (job->chunk_split == ChunkSplit::kSwitching) in_flight.chunk = progress_.ChunkSize();
+  json["chunk"] = in_flight.chunk;
+  const size_t size = json.dump().size() + kDoneFieldBytes;
+  const size_t room = state_.settings.ValueBytes() - std::min(size, state_.settings.ValueBytes());
+  const std::string done =
+      progress_.SerializeDoneSet(*job, 0, in_flight.chunk, room, &in_flight.done);
+  if (!done.empty()) json["done"] = done;
+  return json;
+}
+
+Json DurableState::SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out) {
+  const auto asked_ms =
+      static_cast<int64_t>(std::llround((scale_out.requested_at + state_.wall_offset) * 1000));
+  Json json{{"type", scale_out.type},
+            {"zone", scale_out.zone},
+            {"spot", scale_out.spot},
+            {"count", scale_out.count},
+            {"asked_ms", asked_ms}};
+  if (scale_out.adopted) json["adopted"] = true;
+  if (!scale_out.answered) return json;
+  Json names = Json::object();
+  std::vector<std::string>& dispatch_marks = queue_.BeginWrite(key).dispatch_marks;
+  for (const auto& [id, held] : scale_out.machines) {
+    const auto it = state_.machines.find(id);
+    const bool dispatch_mark =
+        held || (it != state_.machines.end() && it->second->dispatchable_requested);
+    if (dispatch_mark) dispatch_marks.push_back(id);
+    names[id] = dispatch_mark ? 1 : 0;
+  }
+  json["machines"] = std::move(names);
+  return json;
+}
+
+std::optional<Json> DurableState::Serialize(const std::string& key) {
+  if (StartsWith(key, kJobPrefix)) {
+    Job* job = state_.FindJob(key.substr(kJobPrefix.size()));
+    if (job == nullptr) return std::nullopt;  // not reached: jobs are never forgotten while dirty
+    return SerializeJob(key, job);
+  }
+  if (StartsWith(key, kMachinePrefix)) {
+    const auto it = state_.scale_outs.find(key.substr(kMachinePrefix.size()));
+    if (it == state_.scale_outs.end()) return std::nullopt;
+    if (it->second->answered && it->second->machines.empty()) return std::nullopt;
+    return SerializeScaleOut(key, *it->second);
+  }
+  if (StartsWith(key, kTypePrefix)) {
+    const auto it = state_.types.find(key.substr(kTypePrefix.size()));
+    if (it == state_.types.end()) return std::nullopt;
+    return wire::ToJson(it->second);
+  }
+  if (StartsWith(key, kDonePrefix)) {
+    const std::string rest = key.substr(kDonePrefix.size());
+    const size_t slash = rest.find('/');
+    const Job* job = state_.FindJob(rest.substr(0, slash));
+    if (job == nullptr || job->final_state != FinalState::kNone) return std::nullopt;
+    const auto chunk = static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
+    return progress_.SerializeChunk(key, *job, chunk);
+  }
+  return std::nullopt;
+}
+
+void DurableState::OnStored(const std::string& key, double now) {
+  state_.schedule_due = true;
+  const InFlightWrite in_flight = queue_.CompleteWrite(key);
+  if (StartsWith(key, kMachinePrefix)) {
+    OnScaleOutStored(key, in_flight.dispatch_marks);
+  } else if (StartsWith(key, kDonePrefix)) {
+    const std::string rest = key.substr(kDonePrefix.size());
+    const size_t slash = rest.find('/');
+    Job* job = state_.FindJob(rest.substr(0, slash));
+    if (job == nullptr) return;
+    progress_.MarkStored(job, in_flight.done);
+    progress_.OnPartStored(
+        job, static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10)));
+  } else if (StartsWith(key, kJobPrefix)) {
+    Job* job = state_.FindJob(key.substr(kJobPrefix.size()));
+    if (job == nullptr) return;
+    progress_.MarkStored(job, in_flight.done);
+    job->stored = true;
+    state_.admission.OnStored(job->spec.id, now);
+    state_.durable_state_changes.push_back(job->spec.id);
+    if (in_flight.final_state == FinalState::kNone) {
+      progress_.OnJobRecordStored(job, in_flight.chunk);
+    } else if (job->final_state == FinalState::kNone) {
+      Finalize(job, in_flight.final_state, now);
+    }
+  }
+}
+
+void DurableState::OnScaleOutStored(const std::string& key,
+                                    const std::vector<std::string>& dispatch_marks) {
+  const std::string name = key.substr(kMachinePrefix.size());
+  const auto it = state_.scale_outs.find(name);
+  if (it == state_.scale_outs.end()) return;
+  ScaleOutRecord* scale_out = it->second.get();
+  scale_out->stored = true;
+  for (const std::string& id : dispatch_marks) {
+    const auto m = state_.machines.find(id);
+    if (m == state_.machines.end() || m->second->record != name) continue;
+    scale_out->machines[id] = true;
+    m->second->dispatchable = true;
+  }
+  if (scale_out->answered && scale_out->machines.empty() && !queue_.Contains(key))
+    state_.scale_outs.erase(it);
+}
+
+// The job's end is durable.
+void DurableState::Finalize(Job* job, FinalState state, double now) {
+  job->final_state = state;
+  if (state_.active_jobs.erase({job->accepted_ms, job->spec.id}) > 0)
+    state_.admission.OnEnded(job->spec.team);
+  if (state == FinalState::kDone) {
+    for (TaskState& task : job->tasks) task = TaskState::kDone;
+    job->done_stored = job->spec.tasks;
+  }
+  // Nothing of a finished job may run on: strays of a done job, everything of a cancelled one.
+  attempts_.StopJob(job, now);
+  progress_.DeleteChunks(*job);
+  attempts_.FinishJobIfOver(job);
+}
+
+}  // namespace zinclead::core
--- a/src/core/heartbeats.cc
+++ b/src/core/heartbeat_handler.cc
@@ -1,11 +1,9 @@
-// Workers' reports: what is where, and the commands that go back.
+#include "core/heartbeat_handler.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "core/cluster.h"
-
 namespace zinclead::core {
 namespace {
 
@@ -45,45 +43,46 @@
 
 }  // namespace
 
-Cluster::HeartbeatResult Cluster::OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
+HeartbeatResult HeartbeatHandler::OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
                                               bool lease_expired) {
   HeartbeatResult result;
-  if (terminated_.contains(heartbeat.machine)) {
-    result.refuse = true;  // a late message of a machine that is gone
+  if (state_.terminated.contains(heartbeat.machine)) {
+    result.reject = true;  // a late message of a machine that is gone
     return result;
   }
   Machine* m = nullptr;
-  if (const auto it = machines_.find(heartbeat.machine); it != machines_.end()) {
+  if (const auto it = state_.machines.find(heartbeat.machine); it != state_.machines.end()) {
     m = it->second.get();
   } else {
     // The records name every machine that can hold a task. One that they don't name and that lists
     // tasks has been deleted, maybe by an earlier leader: this is a late copy of its reports.
     if (!heartbeat.tasks.empty()) {
-      result.refuse = true;
+      result.reject = true;
       return result;
     }
     // Such a copy may also list nothing. Only what shows this term was surely sent in it: until
     // then the machine gets an answer, so that it learns the term, and is not taken in.
-    if (heartbeat.fencing_token < term_) return result;
-    m = AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
+    if (heartbeat.fencing_token < state_.term) return result;
+    m = registry_.AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
+                               now);
   }
   if (heartbeat.agent_epoch < m->agent_epoch ||
       (heartbeat.agent_epoch == m->agent_epoch && heartbeat.sequence <= m->sequence)) {
     // Late or repeated. Its worker no longer waits for an answer to it.
-    result.refuse = true;
+    result.reject = true;
     return result;
   }
-  if (m->acknowledged && heartbeat.fencing_token < term_) {
+  if (m->acknowledged && heartbeat.fencing_token < state_.term) {
     // A worker keeps the highest token it has seen. So this is a late copy from before the machine
     // came back with its counters begun anew, and tells nothing of what is on it now; or the
     // machine has forgotten the term, may be commanded by an earlier leader, and is better
     // replaced.
-    result.refuse = true;
+    result.reject = true;
     return result;
   }
   if (heartbeat.agent_epoch == m->agent_epoch && m->epoch_expired) {
     // Its session has provably ended and its tasks may run elsewhere: never renew it.
-    result.refuse = true;
+    result.reject = true;
     return result;
   }
   const bool new_epoch = m->agent_epoch != 0 && heartbeat.agent_epoch > m->agent_epoch;
@@ -93,11 +92,12 @@
     // make it hear. It is being deleted.
     m->agent_epoch = heartbeat.agent_epoch;
     m->sequence = heartbeat.sequence;
-    if (new_epoch) DropAllAttempts(m, now);
-    result.refuse = true;
+    if (new_epoch) attempts_.DropAllAttempts(m, now);
+    result.reject = true;
     return result;
   }
-  if (new_epoch) DropAllAttempts(m, now);  // the worker killed them all when its session ended
+  if (new_epoch)
+    attempts_.DropAllAttempts(m, now);  // the worker killed them all when its session ended
   m->epoch_expired = false;
   m->agent_epoch = heartbeat.agent_epoch;
   m->sequence = heartbeat.sequence;
@@ -106,57 +106,58 @@
   if (m->stage == MachineStage::kBooting) {
     m->stage = MachineStage::kUp;
     m->idle_since = now;
-    schedule_due_ = true;
+    state_.schedule_due = true;
   }
   if (!m->dispatchable && !m->dispatchable_requested && !m->terminating) {
     // The record must say that tasks may be here before the first one is sent.
     m->dispatchable_requested = true;
-    EnqueueRecord(std::string(kMachinePrefix) + m->record, Importance::kUser);
+    queue_.Enqueue(std::string(kMachinePrefix) + m->record, Importance::kUser);
   }
   if (heartbeat.notice_s) {
     m->notice_at = now + *heartbeat.notice_s;
     if (!m->cordoned) {
       m->cordoned = true;
-      schedule_due_ = true;
+      state_.schedule_due = true;
     }
   }
 
   // What earlier terms started here is taken over until the worker has seen this term: from then on
   // only this leader starts anything here.
   const bool may_adopt = !m->acknowledged;
-  ++heartbeat_count_;
+  ++state_.heartbeat_count;
   for (const wire::TaskStatus& task : heartbeat.tasks) {
     OnListedTask(m, task, now, may_adopt, &result.commands);
   }
   std::vector<Attempt*> vanished;
   for (auto& [key, a] : m->attempts) {
-    if (a->listed_in_heartbeat == heartbeat_count_) continue;
+    if (a->listed_in_heartbeat == state_.heartbeat_count) continue;
     // Listed before: forgotten by command, or lost. Never listed: if a start was in an answer to an
     // earlier report, the worker dropped that answer for good, so a stop is complete at once.
     if (a->listed || a->stop) vanished.push_back(a.get());
   }
-  for (Attempt* a : vanished) RemoveAttempt(a, now);
+  for (Attempt* a : vanished) attempts_.RemoveAttempt(a, now);
 
   // A lapsed leader keeps up what runs, but takes no machine over: one that came back with its
   // token forgotten may have followed a newer leader, which does not wait for it any more.
-  if (heartbeat.fencing_token >= term_ && !m->acknowledged && !lease_expired) {
+  if (heartbeat.fencing_token >= state_.term && !m->acknowledged && !lease_expired) {
     m->acknowledged = true;
-    schedule_due_ = true;
-    CheckReconciled();
+    state_.schedule_due = true;
+    reconciler_.CheckReconciled();
   }
 
   RevokeUndelivered(m, now);
 
   // A start waits for the report of its machine, up to a report period and a quarter. What waits
   // for another machine's is started here if this one suits as well.
-  if (!lease_expired && !unsent_services_.empty() && MachineUsable(*m)) StealUnsentServices(m, now);
+  if (!lease_expired && !state_.unsent_services.empty() && m->Usable())
+    scheduler_.StealUnsentServices(m, now);
 
   // Freed room is filled in this very answer rather than in the next one.
-  if (!lease_expired && schedule_due_ && MachineUsable(*m)) {
-    if (now >= cycle_rate_limiter_.next_at()) {
-      RunSchedulingCycle(now);
+  if (!lease_expired && state_.schedule_due && m->Usable()) {
+    if (now >= state_.cycle_rate_limiter.next_at()) {
+      scheduler_.RunSchedulingCycle(now);
     } else {
-      BackfillMachine(m, now);
+      scheduler_.BackfillMachine(m, now);
     }
   }
 
@@ -173,7 +174,7 @@
       // leader may have told a user that the job is cancelled, and from then on none of its tasks
       // may start. Nor is a start repeated while the cancellation is on its way to the store.
       a->start_sent = true;
-      unsent_services_.erase(KeyOf(*a));
+      state_.unsent_services.erase(AttemptTracker::KeyOf(*a));
       result.commands.push_back(CommandFor(wire::CommandOp::kStart, *a));
     }
   }
@@ -185,16 +186,16 @@
 // takeover, since it never shows the term. So life is not that it reports but that it has shown to
 // have received something: a report that knows nothing of what earlier answers said counts against
 // it. CheckMachines deletes those that are deaf, unless so many are that it must be us.
-void Cluster::DetectDownlinkLoss(Machine* m, const wire::Heartbeat& heartbeat, bool new_epoch,
-                                 double now) {
+void HeartbeatHandler::DetectDownlinkLoss(Machine* m, const wire::Heartbeat& heartbeat,
+                                          bool new_epoch, double now) {
   if (m->agent_epoch == 0 ||
-      now - m->last_heartbeat_at < kResponseDelayShare * settings_.heartbeat_interval_s)
+      now - m->last_heartbeat_at < kResponseDelayShare * state_.settings.heartbeat_interval_s)
     return;
   bool heard = false;
   bool missed = false;
   if (new_epoch) {
-    missed = now - m->last_heartbeat_at < settings_.lease_s;  // it was being answered
-  } else if (heartbeat.fencing_token < term_) {
+    missed = now - m->last_heartbeat_at < state_.settings.lease_s;  // it was being answered
+  } else if (heartbeat.fencing_token < state_.term) {
     missed = true;
   } else {
     heard = !m->acknowledged;
@@ -219,18 +220,18 @@
 
 // What was sent to a machine that seems not to hear us, and that its later reports don't list, was
 // not executed and never will be: it need not wait there for the end of its lease.
-void Cluster::RevokeUndelivered(Machine* m, double now) {
-  if (ReceivesCommands(*m)) return;
+void HeartbeatHandler::RevokeUndelivered(Machine* m, double now) {
+  if (m->ReceivesCommands()) return;
   std::vector<Attempt*> undelivered;
   for (auto& [key, a] : m->attempts) {
     if (a->phase == AttemptPhase::kPlaced && !a->listed) undelivered.push_back(a.get());
   }
-  for (Attempt* a : undelivered) RemoveAttempt(a, now);
+  for (Attempt* a : undelivered) attempts_.RemoveAttempt(a, now);
 }
 
-void Cluster::OnListedTask(Machine* m, const wire::TaskStatus& listed, double now, bool may_adopt,
-                           std::vector<wire::Command>* extra) {
-  Job* job = FindJob(listed.task.job);
+void HeartbeatHandler::OnListedTask(Machine* m, const wire::TaskStatus& listed, double now,
+                                    bool may_adopt, std::vector<wire::Command>* extra) {
+  Job* job = state_.FindJob(listed.task.job);
   const bool ended = listed.phase == wire::TaskPhase::kEnded;
   if (job == nullptr || listed.task.index >= job->spec.tasks) {
     // Over, or never accepted: accepted jobs are stored before anything of them starts. It counts
@@ -245,16 +246,16 @@
   if (it != m->attempts.end()) {
     a = it->second.get();
   } else {
-    a = AddAttempt(m, job, listed.task.index, listed.attempt, now);
+    a = attempts_.AddAttempt(m, job, listed.task.index, listed.attempt, now);
     if (!ended && may_adopt && job->Live() && job->tasks[a->index] == TaskState::kPending) {
-      Activate(a);
-      if (job->gang) AdoptGangTask(a, now);
+      attempts_.Activate(a);
+      if (job->gang) attempts_.AdoptGangTask(a, now);
     } else if (!ended) {
-      StopAttempt(a, 0, now);  // a stray: the task is over, or its place is elsewhere
+      attempts_.StopAttempt(a, 0, now);  // a stray: the task is over, or its place is elsewhere
     }
   }
   a->listed = true;
-  a->listed_in_heartbeat = heartbeat_count_;
+  a->listed_in_heartbeat = state_.heartbeat_count;
   if (a->phase == AttemptPhase::kEnded) return;
   const AttemptPhase phase = PhaseOf(listed.phase);
   if (phase == AttemptPhase::kEnded) {
@@ -272,24 +273,24 @@
   if (OnMachine(phase)) job->started = true;
   if (OnMachine(phase) || phase == AttemptPhase::kWaiting) m->images.insert(job->spec.image);
   a->phase = phase;
-  if (job->gang) OnGangTaskListed(a);
-  if (job->final_state != FinalState::kNone) StopAttempt(a, 0, now);
+  if (job->gang) attempts_.OnGangTaskListed(a);
+  if (job->final_state != FinalState::kNone) attempts_.StopAttempt(a, 0, now);
 }
 
-void Cluster::OnEnded(Attempt* a, wire::EndCause cause, double now) {
+void HeartbeatHandler::OnEnded(Attempt* a, wire::EndCause cause, double now) {
   Job* job = a->job;
   Machine* m = a->machine;
-  ReleaseAllocation(a);
+  attempts_.ReleaseAllocation(a);
   a->phase = AttemptPhase::kEnded;
   a->cause = cause;
   if (m->attempts.size() == 1) m->idle_since = now;
   if (cause == wire::EndCause::kDone) {
     job->started = true;
     m->failed_jobs.clear();
-    if (job->Live()) OnTaskDone(a, now);
+    if (job->Live()) attempts_.OnTaskDone(a, now);
     return;
   }
-  TaskBackToPending(a, cause, now);
+  attempts_.TaskBackToPending(a, cause, now);
   switch (cause) {
     case wire::EndCause::kError:
       OnTaskError(m, job, now);
@@ -297,54 +298,33 @@
     case wire::EndCause::kInsufficientCapacity:
     case wire::EndCause::kConflict:
       // Something is on the machine that we do not count; its next reports will tell.
-      m->full_until = now + settings_.heartbeat_interval_s;
+      m->full_until = now + state_.settings.heartbeat_interval_s;
       break;
     case wire::EndCause::kUnknownTask:
-      job->not_before = now + operator_settings_.retry_s;
+      job->not_before = now + state_.operator_settings.retry_s;
       break;
     default:
       break;
   }
 }
 
-void Cluster::OnTaskDone(Attempt* a, double now) {
-  Job* job = a->job;
-  if (job->gang) {
-    // The tasks of a gang complete together.
-    job->gang->On(GangEvent::kDone);
-    for (uint32_t index = 0; index < job->spec.tasks; ++index) MarkDone(job, index);
-    job->active.clear();
-    return;
-  }
-  const auto it = job->active.find(a->index);
-  if (it != job->active.end() && it->second != a) StopAttempt(it->second, 0, now);
-  MarkDone(job, a->index);
-  job->active.erase(a->index);
-}
-
-void Cluster::OnTaskError(Machine* m, Job* job, double now) {
+void HeartbeatHandler::OnTaskError(Machine* m, Job* job, double now) {
   job->failed_on[m->id] = now;
   m->failed_jobs.insert(job->spec.id);
   if (job->failed_on.size() >= kFaultyJobThreshold) {
     // A mistake in the job: it fails everywhere. It backs off, and no machine is blamed for it.
     const int doublings = std::min<int>(
         static_cast<int>(job->failed_on.size() - kFaultyJobThreshold), kMostFaultDoublings);
-    job->not_before = now + operator_settings_.retry_s * std::pow(2.0, doublings);
-    for (auto& [id, machine] : machines_) machine->failed_jobs.erase(job->spec.id);
+    job->not_before = now + state_.operator_settings.retry_s * std::pow(2.0, doublings);
+    for (auto& [id, machine] : state_.machines) machine->failed_jobs.erase(job->spec.id);
     return;
   }
-  if (m->failed_jobs.size() >= kFaultyMachineThreshold) Cordon(m, now);
-}
-
-void Cluster::Cordon(Machine* m, double now) {
-  m->cordoned = true;
-  for (auto& [key, a] : m->attempts) StopToSave(a.get(), now);
-  schedule_due_ = true;
+  if (m->failed_jobs.size() >= kFaultyMachineThreshold) lifecycle_.Cordon(m, now);
 }
 
 // A completed task is forgotten only when its completion is durable: until then the worker's list
 // is what a new leader learns it from.
-bool Cluster::MayAcknowledgeCompletion(const Attempt& a) const {
+bool HeartbeatHandler::MayAcknowledgeCompletion(const Attempt& a) const {
   if (a.cause != wire::EndCause::kDone) return true;
   return a.job->final_state != FinalState::kNone || a.job->tasks[a.index] == TaskState::kDone;
 }
--- a/src/core/progress.cc
+++ b/src/core/progress_records.cc
@@ -1,10 +1,9 @@
-// Which tasks of a job are done, as its records hold it: in chunks, each within the state service's
-// limit for a value. The first chunk is in the job's own record.
+#include "core/progress_records.h"
 
 #include <algorithm>
 #include <bit>
+#include <utility>
 
-#include "core/cluster.h"
 #include "core/task_set.h"
 
 namespace zinclead::core {
@@ -18,17 +17,20 @@
 
 }  // namespace
 
-uint32_t Cluster::ChunkSize() const {
-  const auto bytes = static_cast<uint32_t>(settings_.ValueBytes());
+uint32_t ProgressChunkSize(const config::Settings& settings) {
+  const auto bytes = static_cast<uint32_t>(settings.ValueBytes());
   return std::max(1U, bytes / (kDoneValueParts * kDoneBytesPerTask));
 }
 
+uint32_t ProgressRecords::ChunkSize() const { return ProgressChunkSize(state_.settings); }
+
 // The done tasks of a chunk as text. What is durable already must stay in it; of the rest as much
 // as fits `max_bytes`, and more follows when the text has become shorter. If not even what is
 // durable fits, all of it is returned: the state service refuses that, or takes it while its limits
 // last.
-std::string Cluster::SerializeDoneSet(const Job& job, uint32_t first, uint32_t count,
-                                      size_t max_bytes, std::vector<uint32_t>* covered) const {
+std::string ProgressRecords::SerializeDoneSet(const Job& job, uint32_t first, uint32_t count,
+                                              size_t max_bytes,
+                                              std::vector<uint32_t>* covered) const {
   if (first >= job.spec.tasks) return "";
   count = std::min(count, job.spec.tasks - first);
   const auto encode = [&](uint32_t unstored_below) {
@@ -50,34 +52,34 @@
   return text;
 }
 
-std::optional<wire::Json> Cluster::SerializeChunk(const std::string& key, const Job& job,
-                                                  uint32_t chunk) {
-  InFlightWrite& in_flight = in_flight_writes_[key] = {};
+std::optional<wire::Json> ProgressRecords::SerializeChunk(const std::string& key, const Job& job,
+                                                          uint32_t chunk) {
+  InFlightWrite& in_flight = queue_.BeginWrite(key);
   const bool splitting = job.chunk_split != ChunkSplit::kNone;
   const uint32_t size = splitting ? ChunkSize() : job.done_chunk;
   if (uint64_t{chunk} * size >= job.spec.tasks) return std::nullopt;
   // Two bytes are the quotes of the JSON string.
   std::string text =
-      SerializeDoneSet(job, chunk * size, size, settings_.ValueBytes() - 2, &in_flight.done);
+      SerializeDoneSet(job, chunk * size, size, state_.settings.ValueBytes() - 2, &in_flight.done);
   // Until the job's record says the smaller chunk size, no reader understands this one.
   if (splitting) in_flight.done.clear();
   if (text.empty()) return std::nullopt;
   return wire::Json(std::move(text));
 }
 
-void Cluster::EnqueueProgress(Job* job, uint32_t index) {
+void ProgressRecords::EnqueueProgress(Job* job, uint32_t index) {
   // Written when the split is over. Until then the job's record must not change: what it shows as
   // done has to be in the smaller chunks before it says their size.
   if (job->chunk_split != ChunkSplit::kNone) return;
   const uint32_t chunk = index / job->done_chunk;
-  EnqueueRecord(chunk == 0 ? JobKey(job->spec.id) : DoneKey(job->spec.id, chunk),
-                Importance::kBackground);
+  queue_.Enqueue(chunk == 0 ? JobKey(job->spec.id) : ProgressKey(job->spec.id, chunk),
+                 Importance::kBackground);
 }
 
-void Cluster::BeginChunkSplit(Job* job) {
+void ProgressRecords::BeginChunkSplit(Job* job) {
   const wire::Json record{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
   const size_t description = record.dump().size();
-  const size_t most = settings_.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
+  const size_t most = state_.settings.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
   if (description > most) return;  // its record can't be written any more, whatever the chunk
   if (job->spec.tasks <= job->done_chunk) return WriteParts(job);
   std::vector<uint32_t> covered;
@@ -85,27 +87,27 @@
   // What does not fit one record stays in the chunks that it has, each with as much as fits.
   if (description + done.size() > most) return;
   job->chunk_split = ChunkSplit::kCollapsing;
-  EnqueueRecord(JobKey(job->spec.id), Importance::kBackground);
+  queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
 
-void Cluster::WriteParts(Job* job) {
+void ProgressRecords::WriteParts(Job* job) {
   job->chunk_split = ChunkSplit::kWritingParts;
   for (uint32_t chunk = 1; uint64_t{chunk} * ChunkSize() < job->spec.tasks; ++chunk) {
     job->parts_left.insert(chunk);
-    EnqueueRecord(DoneKey(job->spec.id, chunk), Importance::kBackground);
+    queue_.Enqueue(ProgressKey(job->spec.id, chunk), Importance::kBackground);
   }
   if (job->parts_left.empty()) OnPartStored(job, 0);
 }
 
-void Cluster::OnPartStored(Job* job, uint32_t chunk) {
+void ProgressRecords::OnPartStored(Job* job, uint32_t chunk) {
   if (job->chunk_split != ChunkSplit::kWritingParts) return;
   job->parts_left.erase(chunk);
   if (!job->parts_left.empty()) return;
   job->chunk_split = ChunkSplit::kSwitching;
-  EnqueueRecord(JobKey(job->spec.id), Importance::kBackground);
+  queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
 
-void Cluster::OnJobRecordStored(Job* job, uint32_t chunk) {
+void ProgressRecords::OnJobRecordStored(Job* job, uint32_t chunk) {
   if (job->chunk_split == ChunkSplit::kCollapsing && chunk == job->spec.tasks) {
     job->done_chunk = chunk;
     WriteParts(job);
@@ -118,11 +120,31 @@
   }
 }
 
-void Cluster::DeleteChunks(const Job& job) {
+void ProgressRecords::DeleteChunks(const Job& job) {
   // Of a split that is not over there may be records in chunks of either size.
   const uint32_t size = std::min(job.done_chunk, ChunkSize());
   for (uint32_t chunk = 1; uint64_t{chunk} * size < job.spec.tasks; ++chunk) {
-    EnqueueRecord(DoneKey(job.spec.id, chunk), Importance::kBackground);
+    queue_.Enqueue(ProgressKey(job.spec.id, chunk), Importance::kBackground);
+  }
+}
+
+void ProgressRecords::ApplyDone(Job* job, uint32_t first, const std::string& text) {
+  if (first >= job->spec.tasks) return;
+  DecodeTaskSet(text, job->spec.tasks - first, [&](uint32_t i) {
+    TaskState& state = job->tasks[first + i];
+    if (state != TaskState::kPending) return;
+    state = TaskState::kDone;
+    --job->pending;
+    ++job->done;
+    ++job->done_stored;
+  });
+}
+
+void ProgressRecords::MarkStored(Job* job, const std::vector<uint32_t>& done) {
+  for (const uint32_t index : done) {
+    if (job->tasks[index] != TaskState::kDoneUnstored) continue;
+    job->tasks[index] = TaskState::kDone;
+    ++job->done_stored;
   }
 }
 
--- /dev/null
+++ b/src/core/record_queue.cc
@@ -0,0 +1,67 @@
+#include "core/record_queue.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace zinclead::core {
+
+void RecordQueue::Enqueue(const std::string& key, Importance importance) {
+  Insert(key, {importance, next_position_++});
+}
+
+void RecordQueue::Insert(const std::string& key, Position position) {
+  const auto [it, added] = queued_.emplace(key, position);
+  if (!added) {
+    // It keeps its place among its like: what changes all the time must not starve the rest.
+    position.since = std::min(position.since, it->second.since);
+    position.importance = std::min(position.importance, it->second.importance);
+    order_.erase(it->second);
+    it->second = position;
+  }
+  order_[position] = key;
+}
+
+Importance RecordQueue::FirstImportance() const {
+  return order_.empty() ? Importance::kBackground : order_.begin()->first.importance;
+}
+
+std::vector<std::string> RecordQueue::Dequeue(size_t max) {
+  std::vector<std::string> keys;
+  while (!order_.empty() && keys.size() < max) {
+    const auto first = order_.begin();
+    keys.push_back(first->second);
+    taken_[first->second] = first->first;
+    queued_.erase(first->second);
+    order_.erase(first);
+  }
+  return keys;
+}
+
+Importance RecordQueue::ImportanceOf(const std::string& key) const {
+  const auto it = taken_.find(key);
+  return it == taken_.end() ? Importance::kNormal : it->second.importance;
+}
+
+InFlightWrite& RecordQueue::BeginWrite(const std::string& key) { return writes_[key] = {}; }
+
+InFlightWrite RecordQueue::CompleteWrite(const std::string& key) {
+  taken_.erase(key);
+  const auto it = writes_.find(key);
+  if (it == writes_.end()) return {};
+  InFlightWrite write = std::move(it->second);
+  writes_.erase(it);
+  return write;
+}
+
+void RecordQueue::Requeue(const std::string& key) {
+  writes_.erase(key);
+  const auto it = taken_.find(key);
+  if (it == taken_.end()) return Enqueue(key, Importance::kNormal);
+  // With the importance and the place it had: what could not be written must not push ahead of
+  // users.
+  const Position position = it->second;
+  taken_.erase(it);
+  Insert(key, position);
+}
+
+}  // namespace zinclead::core
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -1,4 +1,6 @@
-// Placement, renting, preemption and the machines' life.
+// Placement, scale-out and preemption.
+
+#include "core/scheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,8 +9,6 @@
 #include <tuple>
 #include <utility>
 
-#include "core/cluster.h"
-
 namespace zinclead::core {
 namespace {
 
@@ -46,17 +46,18 @@
 // rents.
 class SchedulingCycle {
  public:
-  SchedulingCycle(Cluster* cluster, double now) : cluster_(*cluster), now_(now) {}
+  SchedulingCycle(ClusterState* state, RecordQueue* records, AttemptTracker* attempts, double now)
+      : state_(*state), records_(*records), attempts_(*attempts), now_(now) {}
 
   void Run() {
-    queue_ = BuildQueue();
-    cluster_.starved_gang_reservations_.clear();
-    cluster_.gang_headroom_.clear();
+    job_queue_ = BuildQueue();
+    state_.starved_gang_reservations.clear();
+    state_.gang_headroom.clear();
     FindCandidates();
     ForecastGangDemand();
     bool kept = false;
-    for (next_ = 0; next_ < queue_.size();) {
-      Job* job = queue_[next_++];
+    for (next_ = 0; next_ < job_queue_.size();) {
+      Job* job = job_queue_[next_++];
       if (!kept && job->spec.priority > wire::Priority::kHigh) {
         kept = true;
         ReserveGangHeadroom();
@@ -73,10 +74,10 @@
   // for room for, in the same order.
   void BackfillMachine(Machine* m) {
     if (m->full_until > now_) return;
-    queue_ = BuildQueue();
+    job_queue_ = BuildQueue();
     FindSmallestRequest();
     candidates_.assign(1, m);
-    for (Job* job : queue_) {
+    for (Job* job : job_queue_) {
       if (!smallest_request_.Fits(AvailableOn(*m))) return;
       if (!job->considered || job->gang) continue;
       if (job->spec.one_zone && job->zone_counts.empty()) continue;
@@ -89,7 +90,7 @@
   void StealUnsentServices(Machine* m) {
     if (m->full_until > now_) return;
     std::vector<Attempt*> waiting;
-    for (const auto& [key, a] : cluster_.unsent_services_) {
+    for (const auto& [key, a] : state_.unsent_services) {
       if (a->machine != m && a->job->request.Fits(AvailableOn(*m))) waiting.push_back(a);
     }
     for (Attempt* a : waiting) {
@@ -106,9 +107,9 @@
       }
       // Nothing was sent there: as far as that machine goes nothing has happened.
       const double idle_since = from->idle_since;
-      cluster_.RemoveAttempt(a, now_);
+      attempts_.RemoveAttempt(a, now_);
       from->idle_since = idle_since;
-      PlaceTask(job, m, MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
+      PlaceTask(job, m, MakeAttempt(state_.term, state_.next_attempt++));
     }
   }
 
@@ -145,7 +146,7 @@
   void FindSmallestRequest() {
     constexpr double kMost = std::numeric_limits<double>::max();
     smallest_request_ = {kMost, kMost, kMost};
-    for (const Job* job : queue_) {
+    for (const Job* job : job_queue_) {
       smallest_request_.cpus = std::min(smallest_request_.cpus, job->request.cpus);
       smallest_request_.gpus = std::min(smallest_request_.gpus, job->request.gpus);
       smallest_request_.memory_gb = std::min(smallest_request_.memory_gb, job->request.memory_gb);
@@ -154,10 +155,9 @@
   // Machines with room for anything at all, in the order of their ids.
   void FindCandidates() {
     FindSmallestRequest();
-    if (queue_.empty()) return;
-    for (auto& [id, m] : cluster_.machines_) {
-      if (cluster_.MachineUsable(*m) && m->full_until <= now_ &&
-          smallest_request_.Fits(AvailableOn(*m))) {
+    if (job_queue_.empty()) return;
+    for (auto& [id, m] : state_.machines) {
+      if (m->Usable() && m->full_until <= now_ && smallest_request_.Fits(AvailableOn(*m))) {
         candidates_.push_back(m.get());
       }
     }
@@ -174,15 +174,15 @@
   std::vector<Job*> BuildQueue() {
     FindTeamsWithinGuarantee();
     std::vector<Job*> jobs;
-    for (auto& [key, job] : cluster_.active_jobs_) {
+    for (auto& [key, job] : state_.active_jobs) {
       if (job->pending == 0 || !job->Live() || !job->stored || job->not_before > now_) continue;
-      if (!cluster_.reconciled_ && MayHaveUnreconciledCopies(*job)) continue;
+      if (!state_.reconciled && MayHaveUnreconciledCopies(*job)) continue;
       jobs.push_back(job);
     }
     // Oldest first within a priority. A job past its dispatch deadline has used up its place.
     std::stable_sort(jobs.begin(), jobs.end(), [&](const Job* a, const Job* b) {
-      const bool late_a = now_ - a->accepted_at > cluster_.operator_settings_.deadline_s;
-      const bool late_b = now_ - b->accepted_at > cluster_.operator_settings_.deadline_s;
+      const bool late_a = now_ - a->accepted_at > state_.operator_settings.deadline_s;
+      const bool late_b = now_ - b->accepted_at > state_.operator_settings.deadline_s;
       const bool sure_a = WithinGuaranteedQuota(*a);
       const bool sure_b = WithinGuaranteedQuota(*b);
       if (sure_a != sure_b) return sure_a;
@@ -202,8 +202,8 @@
     if (!job.inherited) return false;
     if (!unreconciled_offers_known_) {
       unreconciled_offers_known_ = true;
-      for (const auto& [id, m] : cluster_.machines_) {
-        if (cluster_.MayHaveUnreconciledTasks(*m))
+      for (const auto& [id, m] : state_.machines) {
+        if (m->MayHaveUnreconciledTasks())
           unreconciled_offers_.emplace(m->type_name, m->zone, m->spot);
       }
     }
@@ -219,7 +219,7 @@
   // nothing has started for too long goes ahead of all but production.
   bool Starved(const Job& job) const {
     return !job.started && job.done == 0 &&
-           now_ - job.accepted_at >= cluster_.operator_settings_.starvation_limit_s;
+           now_ - job.accepted_at >= state_.operator_settings.starvation_limit_s;
   }
   int Rank(const Job& job) const {
     const int rank = 2 * static_cast<int>(job.spec.priority);
@@ -227,17 +227,17 @@
   }
 
   const config::Team* TeamOf(const Job& job) const {
-    return cluster_.settings_.FindTeam(job.spec.team);
+    return state_.settings.FindTeam(job.spec.team);
   }
 
   // Teams whose unfinished jobs all fit within what they are guaranteed need not wait for others.
   void FindTeamsWithinGuarantee() {
     std::map<std::string, Resources> asked;
-    for (const config::Team& team : cluster_.settings_.teams) {
+    for (const config::Team& team : state_.settings.teams) {
       if (team.cpus > 0 || team.gpus > 0) asked[team.name];
     }
     if (asked.empty()) return;
-    for (const auto& [key, job] : cluster_.active_jobs_) {
+    for (const auto& [key, job] : state_.active_jobs) {
       const auto it = asked.find(job->spec.team);
       if (it == asked.end() || !job->Live()) continue;
       const double left = job->spec.tasks - job->done;
@@ -245,7 +245,7 @@
       it->second.gpus += left * job->request.gpus;
     }
     for (const auto& [name, sum] : asked) {
-      const config::Team* team = cluster_.settings_.FindTeam(name);
+      const config::Team* team = state_.settings.FindTeam(name);
       if (sum.cpus <= team->cpus && sum.gpus <= team->gpus) teams_within_guarantee_.insert(name);
     }
   }
@@ -257,7 +257,7 @@
   bool ExceedsGuaranteedQuota(const Job& job, const Job& other) {
     if (!WithinGuaranteedQuota(job) || job.spec.team == other.spec.team) return false;
     const config::Team* team = TeamOf(other);
-    Resources used = cluster_.team_usage_[other.spec.team];
+    Resources used = state_.team_usage[other.spec.team];
     used -= reclaimed_quota_[other.spec.team];
     return team == nullptr || used.cpus > team->cpus || used.gpus > team->gpus;
   }
@@ -272,7 +272,7 @@
     const config::Team* team = TeamOf(job);
     if (team == nullptr) return false;
     constexpr double kSlack = 1e-6;
-    const Resources& used = cluster_.team_usage_[job.spec.team];
+    const Resources& used = state_.team_usage[job.spec.team];
     const double cpus = used.cpus + tasks * job.request.cpus;
     const double gpus = used.gpus + tasks * job.request.gpus;
     return (team->cpus_max <= 0 || cpus <= team->cpus_max + kSlack) &&
@@ -318,7 +318,7 @@
   }
 
   bool MachineAllowed(const Job& job, const Machine& m) const {
-    if (!cluster_.MachineUsable(m) || m.full_until > now_) return false;
+    if (!m.Usable() || m.full_until > now_) return false;
     return MachineSuits(job, m);
   }
   bool MachineSuits(const Job& job, const Machine& m) const {
@@ -328,20 +328,20 @@
     // Not for good: it may be the only machine with room that there is.
     const auto failed = job.failed_on.find(m.id);
     return failed == job.failed_on.end() ||
-           now_ - failed->second >= kFaultRetries * cluster_.operator_settings_.retry_s;
+           now_ - failed->second >= kFaultRetries * state_.operator_settings.retry_s;
   }
 
   // `for_gangs`: the room that is kept for gangs included.
   Resources AvailableOn(const Machine& m, bool for_gangs) const {
     Resources free = m.capacity;
     free -= m.used;
-    if (!cluster_.starved_gang_reservations_.empty()) {
-      if (const auto it = cluster_.starved_gang_reservations_.find(m.id);
-          it != cluster_.starved_gang_reservations_.end())
+    if (!state_.starved_gang_reservations.empty()) {
+      if (const auto it = state_.starved_gang_reservations.find(m.id);
+          it != state_.starved_gang_reservations.end())
         free -= it->second;
     }
-    if (!cluster_.gang_headroom_.empty() && !for_gangs) {
-      if (const auto it = cluster_.gang_headroom_.find(m.id); it != cluster_.gang_headroom_.end())
+    if (!state_.gang_headroom.empty() && !for_gangs) {
+      if (const auto it = state_.gang_headroom.find(m.id); it != state_.gang_headroom.end())
         free -= it->second;
     }
     return free;
@@ -425,11 +425,11 @@
   // A gang starts only when all its tasks fit. What is lost of it before it has run is replaced;
   // otherwise it starts anew, once nothing of it is left anywhere.
   void PlaceGang(Job* job) {
-    const bool replaces = cluster_.MayReplaceLostTasks(*job);
-    if (!replaces && !cluster_.GangIsClear(job)) {
+    const bool replaces = attempts_.MayReplaceLostTasks(*job);
+    if (!replaces && !attempts_.GangIsClear(job)) {
       // An earlier leader's attempt of which tasks are missing now that all machines were heard.
       if (job->gang->state() != GangState::kWaiting || !job->gang->MayReplace()) {
-        cluster_.StopGang(job, false, now_);
+        attempts_.StopGang(job, false, now_);
       }
       return;
     }
@@ -448,13 +448,13 @@
     }
     if (places.size() == job->pending) {
       // Workers let a gang's tasks go when all of one attempt have come: they share its number.
-      if (!replaces) job->gang->OnPlaced(MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
+      if (!replaces) job->gang->OnPlaced(MakeAttempt(state_.term, state_.next_attempt++));
       for (Machine* m : places) PlaceTask(job, m, job->gang->attempt());
       return;
     }
     // A stream of smaller work would fill each room that is freed before all of it is there.
     if (Starved(*job)) {
-      for (const Machine* m : places) cluster_.starved_gang_reservations_[m->id] += job->request;
+      for (const Machine* m : places) state_.starved_gang_reservations[m->id] += job->request;
     }
     auto left = job->pending - static_cast<uint32_t>(places.size());
     left = UseUpcomingCapacity(*job, left, &planned);
@@ -470,8 +470,8 @@
   // A zone with a controller can be led from inside when it is cut off; in one without, all leases
   // end. Services, which should never be down, go to the former as far as there is room.
   bool ZoneHasController(const std::string& zone) const {
-    const auto& peers = cluster_.settings_.peers;
-    return zone == cluster_.settings_.zone ||
+    const auto& peers = state_.settings.peers;
+    return zone == state_.settings.zone ||
            std::any_of(peers.begin(), peers.end(),
                        [&](const config::Peer& peer) { return peer.zone == zone; });
   }
@@ -479,10 +479,10 @@
   // How soon the job's class should start; without an objective, a report period.
   double StartWithin(const Job& job) const {
     const config::Objective* objective = WaitObjective(job);
-    return objective == nullptr ? cluster_.settings_.heartbeat_interval_s : objective->within_s;
+    return objective == nullptr ? state_.settings.heartbeat_interval_s : objective->within_s;
   }
   const config::Objective* WaitObjective(const Job& job) const {
-    const auto& objectives = cluster_.settings_.objectives;
+    const auto& objectives = state_.settings.objectives;
     const auto it =
         std::find_if(objectives.begin(), objectives.end(), [&](const config::Objective& o) {
           return o.job_class == job.spec.job_class && o.kind == "wait";
@@ -499,7 +499,7 @@
       if (!job->request.Fits(AvailableOn(*m)) || !MachineSuits(*job, *m) || !wanted(*m)) continue;
       while (job->pending > 0 && job->request.Fits(AvailableOn(*m)) &&
              ZoneAllowed(*job, m->zone, none) && WithinQuotaLimit(*job)) {
-        PlaceTask(job, m, MakeAttempt(cluster_.term_, cluster_.next_attempt_++));
+        PlaceTask(job, m, MakeAttempt(state_.term, state_.next_attempt++));
         filled = true;
       }
     }
@@ -510,19 +510,19 @@
 
   double SlowestBoot() const {
     double boot_s = 0;
-    for (const auto& [name, type] : cluster_.types_) boot_s = std::max(boot_s, type.boot_s);
+    for (const auto& [name, type] : state_.types) boot_s = std::max(boot_s, type.boot_s);
     return boot_s;
   }
 
   // A production service should start at once, and no machine boots that quickly: some room is kept
   // that is free or holds work that may be stopped.
   void ReserveHeadroom() {
-    cluster_.headroom_surplus_ = 0;
+    state_.headroom_surplus = 0;
     const Job* latest = nullptr;
     uint32_t running = 0;
     const double boot_s = SlowestBoot();
     double recent = 0;
-    for (const auto& [key, job] : cluster_.active_jobs_) {
+    for (const auto& [key, job] : state_.active_jobs) {
       if (job->spec.kind != wire::JobKind::kService || !job->Live() ||
           job->spec.priority != wire::Priority::kProduction) {
         continue;
@@ -532,8 +532,8 @@
       if (now_ - job->accepted_at < kHeadroomWindowBoots * boot_s) recent += job->spec.tasks;
     }
     if (latest == nullptr) {
-      cluster_.headroom_surplus_ = std::numeric_limits<int>::max() / 2;  // none is wanted
-      for (auto& [id, m] : cluster_.machines_) m->headroom_slots = 0;
+      state_.headroom_surplus = std::numeric_limits<int>::max() / 2;  // none is wanted
+      for (auto& [id, m] : state_.machines) m->headroom_slots = 0;
       return;
     }
     const double arriving = recent / kHeadroomWindowBoots * kHeadroomBoots;
@@ -546,7 +546,7 @@
     probe.spec = any;
     probe.request = latest->request;
     int room = 0;
-    for (auto& [id, m] : cluster_.machines_) {
+    for (auto& [id, m] : state_.machines) {
       m->headroom_slots = 0;
       if (!MachineAllowed(probe, *m)) continue;
       // What is kept for gangs counts as well: production goes before them.
@@ -555,10 +555,10 @@
       m->headroom_slots = static_cast<int>(FitCount(probe.request, free, 1000));
       room += m->headroom_slots;
     }
-    cluster_.headroom_surplus_ = room - wanted;
-    if (cluster_.headroom_surplus_ >= 0) return;
+    state_.headroom_surplus = room - wanted;
+    if (state_.headroom_surplus >= 0) return;
     std::map<std::string, int> planned;
-    const auto missing = static_cast<uint32_t>(-cluster_.headroom_surplus_);
+    const auto missing = static_cast<uint32_t>(-state_.headroom_surplus);
     const uint32_t left = UseUpcomingCapacity(probe, missing, &planned);
     if (left > 0) ScaleOut(probe, left, &planned);
   }
@@ -567,14 +567,13 @@
   // that time. Those whose objectives leave time for a boot need no room kept.
   void ForecastGangDemand() {
     const double window_s = kHeadroomWindowBoots * SlowestBoot();
-    for (const auto& [name, recent] : cluster_.gang_arrivals_.Recent(now_, window_s)) {
+    for (const auto& [name, recent] : state_.gang_arrivals.Recent(now_, window_s)) {
       Job probe;
       probe.spec = recent.latest;
       probe.request = RequestOf(recent.latest);
       double ready_s = std::numeric_limits<double>::max();
-      for (const auto& [type_name, type] : cluster_.types_) {
-        if (cluster_.FitsType(probe.spec, type))
-          ready_s = std::min(ready_s, ReadyTime(probe, type));
+      for (const auto& [type_name, type] : state_.types) {
+        if (FitsType(probe.spec, type)) ready_s = std::min(ready_s, ReadyTime(probe, type));
       }
       ready_s *= kHeadroomBoots;
       if (WaitObjective(probe) == nullptr || StartWithin(probe) > ready_s) continue;
@@ -598,7 +597,7 @@
         if (forecast.missing == 0) break;
         if (m->zone != *one_zone_ || !MachineSuits(forecast.probe, *m)) continue;
         const uint32_t fit = FitCount(forecast.probe.request, AvailableOn(*m), forecast.missing);
-        for (uint32_t i = 0; i < fit; ++i) cluster_.gang_headroom_[m->id] += forecast.probe.request;
+        for (uint32_t i = 0; i < fit; ++i) state_.gang_headroom[m->id] += forecast.probe.request;
         forecast.missing -= fit;
       }
     }
@@ -620,24 +619,24 @@
   // cost as much as full ones (hljod grown steady from 565 s on: 80 machines for 460 CPUs, later 48
   // for 108).
   void ConsolidateServices() {
-    if (!cluster_.reconciled_ || now_ < cluster_.next_migration_at_) return;
+    if (!state_.reconciled || now_ < state_.next_migration_at) return;
     double services = 0;
-    double start_within_s = cluster_.settings_.lease_s;
-    for (const auto& [key, job] : cluster_.active_jobs_) {
+    double start_within_s = state_.settings.lease_s;
+    for (const auto& [key, job] : state_.active_jobs) {
       if (job->spec.kind != wire::JobKind::kService || !job->Live()) continue;
       if (job->pending > 0 || job->running < job->spec.tasks) return;  // one thing after the other
       services += job->spec.tasks;
       start_within_s = std::min(start_within_s, StartWithin(*job));
     }
     // The sooner services must start, the sooner one that is away is missed.
-    const double patience = start_within_s / cluster_.settings_.lease_s;
+    const double patience = start_within_s / state_.settings.lease_s;
     const double at_once_s =
-        kConcurrentMigrationShare * patience * services * cluster_.settings_.lease_s;
+        kConcurrentMigrationShare * patience * services * state_.settings.lease_s;
     if (at_once_s < kMigrationDowntimeS) return;
     std::vector<Machine*> sources;
-    for (auto& [id, m] : cluster_.machines_) {
+    for (auto& [id, m] : state_.machines) {
       if (m->draining && !m->terminating) return;
-      if (CanBeEvacuated(*m) && cluster_.headroom_surplus_ >= m->headroom_slots + m->services &&
+      if (CanBeEvacuated(*m) && state_.headroom_surplus >= m->headroom_slots + m->services &&
           m->services * kMigrationDowntimeS <= at_once_s) {
         sources.push_back(m.get());
       }
@@ -660,24 +659,23 @@
         continue;
       }
       source->draining = source->cordoned = true;
-      for (const auto& [key, a] : source->attempts) cluster_.StopAttempt(a.get(), 0, now_);
-      cluster_.next_migration_at_ = now_ + source->services * kMigrationDowntimeS /
-                                               (kMigrationDowntimeShare * patience * services);
-      cluster_.retry_at_ = std::min(cluster_.retry_at_, cluster_.next_migration_at_);
+      for (const auto& [key, a] : source->attempts) attempts_.StopAttempt(a.get(), 0, now_);
+      state_.next_migration_at = now_ + source->services * kMigrationDowntimeS /
+                                            (kMigrationDowntimeShare * patience * services);
+      state_.retry_at = std::min(state_.retry_at, state_.next_migration_at);
       return;
     }
   }
 
   bool CanBeEvacuated(const Machine& m) const {
-    if (!cluster_.MachineUsable(m) || m.services == 0 ||
-        static_cast<size_t>(m.services) != m.attempts.size() ||
+    if (!m.Usable() || m.services == 0 || static_cast<size_t>(m.services) != m.attempts.size() ||
         m.used.cpus > kEvacuationUtilization * m.capacity.cpus) {
       return false;
     }
     return std::all_of(m.attempts.begin(), m.attempts.end(), [&](const auto& entry) {
       const Attempt& a = *entry.second;
       return a.phase == AttemptPhase::kRunning && !a.stop && a.job->spec.checkpoint_s == 0 &&
-             now_ - a.running_since > 2 * cluster_.settings_.lease_s;
+             now_ - a.running_since > 2 * state_.settings.lease_s;
     });
   }
 
@@ -692,7 +690,7 @@
       return m.used.cpus != a.machine->used.cpus ? m.used.cpus > a.machine->used.cpus
                                                  : m.id < a.machine->id;
     };
-    for (const auto& [id, m] : cluster_.machines_) {
+    for (const auto& [id, m] : state_.machines) {
       if (m->services == 0 || !fuller(*m) || !m->images.contains(job.spec.image) ||
           !MachineAllowed(job, *m)) {
         continue;
@@ -719,10 +717,10 @@
     uint32_t index = job->first_pending;
     while (job->tasks[index] != TaskState::kPending) ++index;
     job->first_pending = index + 1;
-    Attempt* a = cluster_.AddAttempt(m, job, index, number, now_);
-    cluster_.Activate(a);
+    Attempt* a = attempts_.AddAttempt(m, job, index, number, now_);
+    attempts_.Activate(a);
     if (job->spec.kind == wire::JobKind::kService) {
-      cluster_.unsent_services_.emplace(Cluster::KeyOf(*a), a);
+      state_.unsent_services.emplace(AttemptTracker::KeyOf(*a), a);
     }
   }
 
@@ -754,7 +752,7 @@
     };
     if (!sure && std::any_of(unpreemptible_.begin(), unpreemptible_.end(), unschedulable))
       return left;
-    for (auto& [id, m] : cluster_.machines_) {
+    for (auto& [id, m] : state_.machines) {
       if (left == 0) break;
       if (!sure && m->stopping == 0) {
         // Only arrays of lesser priority can make room here.
@@ -818,34 +816,34 @@
   // `urgent`: nobody waits for it to save. A gang is never stopped in part.
   void PreemptAttempt(Attempt* a, bool urgent) {
     if (a->job->gang) {
-      cluster_.StopGang(a->job, !urgent && cluster_.CanStopAllTasks(*a->job, now_), now_);
+      attempts_.StopGang(a->job, !urgent && attempts_.CanStopAllTasks(*a->job, now_), now_);
     } else {
-      cluster_.StopAttempt(a, urgent ? 0 : a->job->spec.save_s, now_);
+      attempts_.StopAttempt(a, urgent ? 0 : a->job->spec.save_s, now_);
     }
   }
 
   void FindUpcomingCapacity() {
     upcoming_capacity_known_ = true;
-    for (const auto& [id, m] : cluster_.machines_) {
+    for (const auto& [id, m] : state_.machines) {
       if (m->cordoned || m->type == nullptr || m->from_list) continue;
       const bool waiting = m->stage == MachineStage::kBooting || !m->dispatchable ||
                            !m->acknowledged || m->epoch_expired;
       if (!waiting) continue;
       if (m->stage == MachineStage::kBooting &&
-          now_ - m->requested_at > cluster_.operator_settings_.boot_late * m->type->boot_s) {
+          now_ - m->requested_at > state_.operator_settings.boot_late * m->type->boot_s) {
         continue;
       }
       if (m->stage == MachineStage::kUp &&
-          now_ - m->last_heartbeat_at > cluster_.settings_.lease_s / 2) {
+          now_ - m->last_heartbeat_at > state_.settings.lease_s / 2) {
         continue;
       }
       UpcomingCapacity room{m->type_name, m->zone, m->spot, AvailableOn(*m)};
       upcoming_capacity_.push_back(std::move(room));
     }
-    for (const auto& [name, scale_out] : cluster_.scale_outs_) {
+    for (const auto& [name, scale_out] : state_.scale_outs) {
       if (scale_out->answered) continue;
-      const auto type = cluster_.types_.find(scale_out->type);
-      if (type == cluster_.types_.end()) continue;
+      const auto type = state_.types.find(scale_out->type);
+      if (type == state_.types.end()) continue;
       for (int i = 0; i < scale_out->count; ++i)
         AddUpcomingCapacity(type->second, scale_out->zone, scale_out->spot);
     }
@@ -886,7 +884,7 @@
   bool HasDeadline(const Job& job) const {
     if (job.spec.kind != wire::JobKind::kArray) return false;
     return job.spec.deadline_s ||
-           std::any_of(cluster_.settings_.objectives.begin(), cluster_.settings_.objectives.end(),
+           std::any_of(state_.settings.objectives.begin(), state_.settings.objectives.end(),
                        [&](const config::Objective& objective) {
                          return objective.job_class == job.spec.job_class &&
                                 objective.kind == "finished";
@@ -900,15 +898,15 @@
       return false;
     }
     double ready_s = std::numeric_limits<double>::max();
-    for (const auto& [name, type] : cluster_.types_) {
-      if (!cluster_.FitsType(job.spec, type)) continue;
+    for (const auto& [name, type] : state_.types) {
+      if (!FitsType(job.spec, type)) continue;
       ready_s = std::min(ready_s, ReadyTime(job, type));
     }
     const double run_s = kEstimateSlack * job.spec.estimate_s;
     double start_by = std::numeric_limits<double>::max();
     double share = kPatienceShare;
     if (job.spec.deadline_s) start_by = *job.spec.deadline_s - run_s;
-    for (const config::Objective& objective : cluster_.settings_.objectives) {
+    for (const config::Objective& objective : state_.settings.objectives) {
       if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
       if (objective.kind == "wait") start_by = std::min(start_by, objective.within_s);
       if (objective.kind == "finished") {
@@ -919,7 +917,7 @@
     const double age_s = now_ - job.accepted_at;
     // Nobody says when it should be over: it waits for cheap room until it should have begun.
     if (start_by == std::numeric_limits<double>::max())
-      return age_s < cluster_.operator_settings_.starvation_limit_s;
+      return age_s < state_.operator_settings.starvation_limit_s;
     return age_s < share * (start_by - ready_s);
   }
 
@@ -931,8 +929,8 @@
                                        const std::map<std::string, int>& planned) const {
     std::vector<MachineOffer> offers;
     const bool patient = CanWaitForSpot(job);
-    for (const auto& [name, type] : cluster_.types_) {
-      if (!cluster_.FitsType(job.spec, type)) continue;
+    for (const auto& [name, type] : state_.types) {
+      if (!FitsType(job.spec, type)) continue;
       for (const std::string& zone : type.zones) {
         if (!ZoneAllowed(job, zone, planned)) continue;
         uint32_t tasks = left;
@@ -953,8 +951,8 @@
           // Services stay; their machines pay off over an idle machine's life at the least.
           const double stay =
               job.spec.kind == wire::JobKind::kService
-                  ? 10 * cluster_.operator_settings_.idle_s
-                  : std::max(job.spec.estimate_s, cluster_.operator_settings_.idle_s / 2);
+                  ? 10 * state_.operator_settings.idle_s
+                  : std::max(job.spec.estimate_s, state_.operator_settings.idle_s / 2);
           offer.cost = (spot ? type.spot_price : type.price) * (offer.ready_s + stay) /
                        std::max(1U, offer.fit);
           offers.push_back(std::move(offer));
@@ -965,13 +963,13 @@
   }
 
   bool InCapacityBackoff(const std::string& type, const std::string& zone, bool spot) const {
-    const auto it = cluster_.capacity_backoffs_.find(OfferKey(type, zone, spot));
-    return it != cluster_.capacity_backoffs_.end() && it->second.until > now_;
+    const auto it = state_.capacity_backoffs.find(OfferKey(type, zone, spot));
+    return it != state_.capacity_backoffs.end() && it->second.until > now_;
   }
 
   size_t MachinesInZone(const std::string& zone) const {
-    const auto it = cluster_.machines_in_zone_.find(zone);
-    return it == cluster_.machines_in_zone_.end() ? 0 : it->second;
+    const auto it = state_.machines_in_zone.find(zone);
+    return it == state_.machines_in_zone.end() ? 0 : it->second;
   }
 
   // The cheapest offer. Work that somebody waits for takes the quickest that costs little more.
@@ -1027,8 +1025,8 @@
     uint32_t tasks = 0;
     if (job.spec.one_zone) return 0;
     const bool patient = CanWaitForSpot(job);
-    for (size_t i = next_; i < queue_.size(); ++i) {
-      const Job& other = *queue_[i];
+    for (size_t i = next_; i < job_queue_.size(); ++i) {
+      const Job& other = *job_queue_[i];
       if (other.spec.kind == job.spec.kind && other.spec.priority == job.spec.priority &&
           other.spec.cpus == job.spec.cpus && other.spec.gpus == job.spec.gpus &&
           other.spec.memory_gb == job.spec.memory_gb && other.spec.spot == job.spec.spot &&
@@ -1058,9 +1056,9 @@
         if (HasOnlyStaticConstraints(job)) no_machine_offer_.push_back(search);
         return;
       }
-      if (!cluster_.scale_out_rate_limiter_.Take(now_, 1, Importance::kNormal)) {
-        const double wait = cluster_.scale_out_rate_limiter_.Wait(now_, 1, Importance::kNormal);
-        cluster_.retry_at_ = std::min(cluster_.retry_at_, now_ + wait);
+      if (!state_.scale_out_rate_limiter.Take(now_, 1, Importance::kNormal)) {
+        const double wait = state_.scale_out_rate_limiter.Wait(now_, 1, Importance::kNormal);
+        state_.retry_at = std::min(state_.retry_at, now_ + wait);
         scale_out_rate_exhausted_ = true;
         return;
       }
@@ -1069,29 +1067,31 @@
           std::min<uint32_t>((tasks + offer->fit - 1) / offer->fit, wire::kMaxScaleOutCount));
       auto scale_out = std::make_unique<ScaleOutRecord>();
       scale_out->name =
-          "r" + std::to_string(cluster_.term_) + "-" + std::to_string(cluster_.next_scale_out_++);
+          "r" + std::to_string(state_.term) + "-" + std::to_string(state_.next_scale_out++);
       scale_out->type = offer->type->name;
       scale_out->zone = offer->zone;
       scale_out->spot = offer->spot;
       scale_out->count = count;
       scale_out->requested_at = now_;
       // Named durably before the request: whoever leads next can ask for its machines again.
-      cluster_.EnqueueRecord(
+      records_.Enqueue(
           std::string(kMachinePrefix) + scale_out->name,
           job.spec.priority <= wire::Priority::kHigh ? Importance::kUser : Importance::kNormal);
       for (int i = 0; i < count; ++i) AddUpcomingCapacity(*offer->type, offer->zone, offer->spot);
-      cluster_.scale_outs_[scale_out->name] = std::move(scale_out);
+      state_.scale_outs[scale_out->name] = std::move(scale_out);
       no_upcoming_capacity_.clear();
       left = UseUpcomingCapacity(job, left, planned);
     }
   }
 
-  Cluster& cluster_;
+  ClusterState& state_;
+  RecordQueue& records_;
+  AttemptTracker& attempts_;
   const double now_;
   std::set<std::string> teams_within_guarantee_;      // teams
   std::map<std::string, Resources> reclaimed_quota_;  // by team, what this pass stops of it
-  std::vector<Job*> queue_;
-  size_t next_ = 0;  // in queue_, behind the job that is being placed
+  std::vector<Job*> job_queue_;
+  size_t next_ = 0;  // in job_queue_, behind the job that is being placed
   Resources smallest_request_;
   std::vector<Machine*> candidates_;
   // Searches of this pass that were in vain: for free room, for room to be made, for room on its
@@ -1117,46 +1117,21 @@
   bool upcoming_capacity_known_ = false;
 };
 
-void Cluster::RunSchedulingCycle(double now) {
-  schedule_due_ = false;
-  retry_at_ = now + operator_settings_.retry_s +
-              std::uniform_real_distribution<double>(0, operator_settings_.retry_jitter_s)(random_);
-  cycle_rate_limiter_.Run(now, [&] { SchedulingCycle(this, now).Run(); });
+void Scheduler::RunSchedulingCycle(double now) {
+  state_.schedule_due = false;
+  state_.retry_at = now + state_.operator_settings.retry_s +
+                    std::uniform_real_distribution<double>(
+                        0, state_.operator_settings.retry_jitter_s)(state_.random);
+  state_.cycle_rate_limiter.Run(now,
+                                [&] { SchedulingCycle(&state_, &queue_, &attempts_, now).Run(); });
 }
 
-void Cluster::BackfillMachine(Machine* m, double now) {
-  SchedulingCycle(this, now).BackfillMachine(m);
-}
-
-void Cluster::StealUnsentServices(Machine* m, double now) {
-  SchedulingCycle(this, now).StealUnsentServices(m);
-}
-
-bool Cluster::NeededAsHeadroom(const Machine& m) const {
-  return m.headroom_slots > 0 && m.headroom_slots > headroom_surplus_;
-}
-
-void Cluster::IssueScaleOut(double now, CloudActions* cloud_actions) {
-  for (auto& [name, scale_out] : scale_outs_) {
-    if (!scale_out->stored || scale_out->answered || scale_out->sending ||
-        scale_out->retry_at > now)
-      continue;
-    scale_out->sending = true;
-    cloud_actions->scale_out.push_back(
-        {scale_out->name, scale_out->type, scale_out->zone, scale_out->spot, scale_out->count});
-  }
+void Scheduler::BackfillMachine(Machine* m, double now) {
+  SchedulingCycle(&state_, &queue_, &attempts_, now).BackfillMachine(m);
 }
 
-CloudActions Cluster::Schedule(double now, bool lease_expired) {
-  CloudActions cloud_actions;
-  CheckMachines(now, lease_expired, &cloud_actions);
-  CheckReconciled();
-  if (now >= cycle_rate_limiter_.next_at() && (schedule_due_ || now >= retry_at_))
-    RunSchedulingCycle(now);
-  IssueScaleOut(now, &cloud_actions);
-  next_wake_ = std::min(now + settings_.heartbeat_interval_s / 2,
-                        std::max(retry_at_, cycle_rate_limiter_.next_at()));
-  return cloud_actions;
+void Scheduler::StealUnsentServices(Machine* m, double now) {
+  SchedulingCycle(&state_, &queue_, &attempts_, now).StealUnsentServices(m);
 }
 
 }  // namespace zinclead::core
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -132,7 +132,7 @@
   const std::lock_guard lock(scheduler_->mutex);
   spdlog::info("term {}: {} active jobs, {} pending tasks, {} machines{}", term_,
                cluster_->ActiveJobs(), cluster_->PendingTasks(), cluster_->machines().size(),
-               cluster_->settled() ? "" : ", taking over");
+               cluster_->reconciled() ? "" : ", taking over");
   if (operator_settings_.admission.fair == 0) return;
   const admission::AdmissionPolicy& admission = cluster_->admission();
   const admission::Counters& counts = admission.counters();
@@ -408,7 +408,7 @@
     result = cluster_->OnHeartbeat(heartbeat, now, !elector_->Valid(now));
   }
   AfterChange();
-  if (result.refuse) return ServiceUnavailable("a late report");
+  if (result.reject) return ServiceUnavailable("a late report");
   return {200, 0, wire::CommandsBody(term_, result.commands)};
 }
 
--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -319,7 +319,7 @@
     if (!peers_apart_ &&
         std::none_of(nodes_.begin(), nodes_.begin() + static_cast<std::ptrdiff_t>(old),
                      [](const Node& other) { return other.alive; })) {
-      if (nodes_.size() > 1 && !node.cluster->settled()) ++coverage.early_leader_ends;
+      if (nodes_.size() > 1 && !node.cluster->reconciled()) ++coverage.early_leader_ends;
       node.cluster->OnEarlierLeadersEnded(now_);
     }
   }
--- a/tests/cluster_model_workers.cc
+++ b/tests/cluster_model_workers.cc
@@ -148,7 +148,7 @@
   }
   Cluster::HeartbeatResult result = node.cluster->OnHeartbeat(f->heartbeat, now_, lease_expired);
   ObserveCommands(f->to, f->heartbeat.machine, result);
-  if (result.refuse || Chance(troubles_ ? 0.05 : 0)) return;
+  if (result.reject || Chance(troubles_ ? 0.05 : 0)) return;
   f->answered = true;
   f->computed_at = now_;
   f->answer_at = now_ + (!scripted_ && Chance(0.05) ? Uniform(0, 6) : Uniform(0, 0.2));
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -62,7 +62,7 @@
     wire::Heartbeat heartbeat = MakeReport(id, token_);
     for (const auto& [name, task] : *tasks) heartbeat.tasks.push_back(task);
     const auto result = cluster_->OnHeartbeat(heartbeat, now_);
-    EXPECT_FALSE(result.refuse);
+    EXPECT_FALSE(result.reject);
     token_ = term_;
     for (const auto& c : result.commands) {
       const std::string name = wire::TaskName(c.task.job, c.task.index);
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -102,14 +102,14 @@
   Ready("i-2", &none);
   Ready("i-2", &none);
   EXPECT_TRUE(none.empty()) << "started twice";
-  EXPECT_FALSE(cluster_->settled());
+  EXPECT_FALSE(cluster_->reconciled());
   // The machine is silent: its tasks are free once its lease ended for every possible leader.
   now_ = gone - 0.5;
   cluster_->Schedule(now_);
-  EXPECT_FALSE(cluster_->settled());
+  EXPECT_FALSE(cluster_->reconciled());
   now_ = gone + settings_.heartbeat_interval_s;
   cluster_->Schedule(now_);
-  EXPECT_TRUE(cluster_->settled());
+  EXPECT_TRUE(cluster_->reconciled());
 }
 
 // With all other controllers known to follow the term only the machine's lease is waited for.
@@ -121,10 +121,10 @@
   cluster_->OnEarlierLeadersEnded(now_);
   now_ += settings_.lease_s - 0.5;
   cluster_->Schedule(now_);
-  EXPECT_FALSE(cluster_->settled());
+  EXPECT_FALSE(cluster_->reconciled());
   now_ += 1 + settings_.heartbeat_interval_s;
   cluster_->Schedule(now_);
-  EXPECT_TRUE(cluster_->settled());
+  EXPECT_TRUE(cluster_->reconciled());
 }
 
 // Found on days with a leader change: idle machines were kept for another minute, and late boots
@@ -159,9 +159,9 @@
   Restart();
   now_ += settings_.lease_s;
   EXPECT_EQ(cluster_->Schedule(now_).scale_in, std::vector<std::string>{"i-1"});
-  EXPECT_FALSE(cluster_->settled());
+  EXPECT_FALSE(cluster_->reconciled());
   cluster_->OnTerminated({"i-1"}, true, now_);
-  EXPECT_TRUE(cluster_->settled());
+  EXPECT_TRUE(cluster_->reconciled());
 }
 
 // A machine whose reports arrive but which hears nothing: it goes on reporting for ever, in a new
@@ -189,7 +189,7 @@
     heartbeat.agent_epoch = session_;
     heartbeat.sequence = ++sequence_;
     heartbeat.fencing_token = token_;
-    return !cluster_->OnHeartbeat(heartbeat, now).refuse;
+    return !cluster_->OnHeartbeat(heartbeat, now).reject;
   }
 
  private:
@@ -238,12 +238,12 @@
   Restart();
   const double began = now_;
   DeafMachine downlink_lost(cluster_.get(), settings_, "i-1", old_term, 1000);
-  while (now_ < began + 20 * settings_.lease_s && !cluster_->settled()) {
+  while (now_ < began + 20 * settings_.lease_s && !cluster_->reconciled()) {
     now_ += wire::kHeartbeatTimeoutS + 1;
     downlink_lost.Heartbeat(now_);
     cluster_->Schedule(now_);  // the cloud does not answer
   }
-  EXPECT_TRUE(cluster_->settled());
+  EXPECT_TRUE(cluster_->reconciled());
   EXPECT_GT(now_, began + Cluster::KeepAliveLimit(settings_) + settings_.lease_s);
   EXPECT_LT(now_, began + Cluster::KeepAliveLimit(settings_) + 4 * settings_.lease_s);
 }
@@ -281,19 +281,19 @@
   std::map<std::string, wire::TaskStatus> elsewhere;
   Ready("i-2", &elsewhere);
   ASSERT_EQ(elsewhere.size(), 1U);
-  wire::Heartbeat peer_listen = MakeReport("i-2", term_);
-  peer_listen.agent_epoch = 2;
-  peer_listen.tasks = {elsewhere.begin()->second};
+  wire::Heartbeat returned = MakeReport("i-2", term_);
+  returned.agent_epoch = 2;
+  returned.tasks = {elsewhere.begin()->second};
   Restart();
-  EXPECT_TRUE(cluster_->OnHeartbeat(copy, now_).refuse);
+  EXPECT_TRUE(cluster_->OnHeartbeat(copy, now_).reject);
   cluster_->OnHeartbeat(idle_copy, now_);
   EXPECT_FALSE(cluster_->machines().contains("i-1")) << "taken in as a live machine";
   Store();
   Hello("i-2", &elsewhere);
   Hello("i-2", &elsewhere);
-  EXPECT_TRUE(cluster_->settled());
+  EXPECT_TRUE(cluster_->reconciled());
   // i-2 had come back with its counters begun anew; a copy from before shows a later session.
-  EXPECT_TRUE(cluster_->OnHeartbeat(peer_listen, now_).refuse);
+  EXPECT_TRUE(cluster_->OnHeartbeat(returned, now_).reject);
   EXPECT_EQ(cluster_->jobs().at("req-1")->pending, 0U);
   Hello("i-2", &elsewhere);
   EXPECT_EQ(cluster_->View("req-1")->running, 1U);
@@ -308,7 +308,7 @@
   now_ += 1;
   const wire::Heartbeat heartbeat = MakeReport("i-1", term_);
   EXPECT_EQ(cluster_->OnHeartbeat(heartbeat, now_).commands.size(), 1U);  // nobody hears this
-  EXPECT_TRUE(cluster_->OnHeartbeat(heartbeat, now_).refuse);
+  EXPECT_TRUE(cluster_->OnHeartbeat(heartbeat, now_).reject);
   Hello("i-1", &tasks);
   EXPECT_EQ(tasks.size(), 1U);
   Hello("i-1", &tasks);
