--- /dev/null
+++ b/src/core/scheduling/job_queue.cc
@@ -0,0 +1,101 @@
+#include "core/scheduling/job_queue.h"
+
+#include <algorithm>
+#include <limits>
+#include <optional>
+#include <set>
+
+#include "core/scheduling/machine_offer.h"
+#include "core/scheduling/placement_constraints.h"
+
+namespace zinclead::core {
+namespace {
+
+// While a failover is in progress: finds the jobs of which an earlier leader may have placed tasks
+// that this one has not heard of.
+class UnreconciledJobs {
+ public:
+  UnreconciledJobs(const ClusterState& state, const TeamQuotas& quotas)
+      : state_(state), quotas_(quotas) {}
+
+  // Whether tasks of the job, or of its team if that has a quota limit, may be on a machine that
+  // has not acknowledged the term. Nothing is on machines that the job may not use.
+  bool MayHaveUnreconciledCopies(const Job& job) {
+    if (quotas_.HasQuotaLimit(job)) return true;
+    if (!job.inherited) return false;
+    const std::set<MachineOffer>& offers = UnreconciledOffers();
+    return std::any_of(offers.begin(), offers.end(), [&](const MachineOffer& offer) {
+      return OfferAllowed(job, offer) && (!job.spec.zone || *job.spec.zone == offer.zone);
+    });
+  }
+
+ private:
+  // The offers of the machines that have not acknowledged the term. Collected at first use.
+  const std::set<MachineOffer>& UnreconciledOffers() {
+    if (!offers_) {
+      offers_.emplace();
+      for (const auto& [id, machine] : state_.machines) {
+        if (machine->MayHaveUnreconciledTasks()) {
+          offers_->insert({machine->type_name, machine->zone, machine->spot});
+        }
+      }
+    }
+    return *offers_;
+  }
+
+  const ClusterState& state_;
+  const TeamQuotas& quotas_;
+  std::optional<std::set<MachineOffer>> offers_;
+};
+
+// Strict priority would let a stream of more important jobs keep a job from ever starting: a
+// starved job goes ahead of all but production.
+int Rank(const ClusterState& state, const Job& job, double now) {
+  const int rank = 2 * static_cast<int>(job.spec.priority);
+  return Starved(state, job, now) ? std::min(rank, 1) : rank;
+}
+
+}  // namespace
+
+bool Starved(const ClusterState& state, const Job& job, double now) {
+  return !job.started && job.done == 0 &&
+         now - job.accepted_at >= state.operator_settings.starvation_limit_s;
+}
+
+std::vector<Job*> BuildJobQueue(const ClusterState& state, const TeamQuotas& quotas, double now) {
+  UnreconciledJobs unreconciled(state, quotas);
+  std::vector<Job*> jobs;
+  for (const auto& [key, job] : state.active_jobs) {
+    if (job->pending == 0 || !job->Live() || !job->stored || job->not_before > now) continue;
+    if (!state.reconciled && unreconciled.MayHaveUnreconciledCopies(*job)) continue;
+    jobs.push_back(job);
+  }
+  const double deadline_s = state.operator_settings.deadline_s;
+  // Active jobs are in the order of their acceptance, and the sort is stable: oldest first within
+  // a rank. A job past its dispatch deadline has lost that privilege.
+  std::stable_sort(jobs.begin(), jobs.end(), [&](const Job* first, const Job* second) {
+    const bool first_guaranteed = quotas.WithinGuaranteedQuota(*first);
+    const bool second_guaranteed = quotas.WithinGuaranteedQuota(*second);
+    if (first_guaranteed != second_guaranteed) return first_guaranteed;
+    const int first_rank = Rank(state, *first, now);
+    const int second_rank = Rank(state, *second, now);
+    if (first_rank != second_rank) return first_rank < second_rank;
+    const bool first_late = now - first->accepted_at > deadline_s;
+    const bool second_late = now - second->accepted_at > deadline_s;
+    return first_late < second_late;
+  });
+  return jobs;
+}
+
+Resources SmallestRequest(const std::vector<Job*>& jobs) {
+  constexpr double kMost = std::numeric_limits<double>::max();
+  Resources smallest = {kMost, kMost, kMost};
+  for (const Job* job : jobs) {
+    smallest.cpus = std::min(smallest.cpus, job->request.cpus);
+    smallest.gpus = std::min(smallest.gpus, job->request.gpus);
+    smallest.memory_gb = std::min(smallest.memory_gb, job->request.memory_gb);
+  }
+  return smallest;
+}
+
+}  // namespace zinclead::core
--- /dev/null
+++ b/src/core/scheduling/scheduling_context.h
@@ -0,0 +1,32 @@
+// The data that the deciders of one scheduling cycle share.
+#ifndef ZINCLEAD_CORE_SCHEDULING_SCHEDULING_CONTEXT_H_
+#define ZINCLEAD_CORE_SCHEDULING_SCHEDULING_CONTEXT_H_
+
+#include <cstddef>
+#include <vector>
+
+#include "core/attempt_tracker.h"
+#include "core/cluster_state.h"
+#include "core/scheduling/team_quotas.h"
+
+namespace zinclead::core {
+
+// Lives for one cycle. `now` is on the steady clock, in seconds.
+struct SchedulingContext {
+  SchedulingContext(ClusterState* cluster_state, AttemptTracker* attempt_tracker, double cycle_time)
+      : state(*cluster_state), attempts(*attempt_tracker), now(cycle_time), quotas(cluster_state) {}
+
+  ClusterState& state;
+  AttemptTracker& attempts;
+  const double now;
+  TeamQuotas quotas;
+  std::vector<Job*> job_queue;
+  size_t next_job = 0;         // position in job_queue behind the job that is being placed
+  Resources smallest_request;  // of each resource, the least that a task in the queue requests
+  // Machines with capacity for the smallest request, in the order of their ids.
+  std::vector<Machine*> candidates;
+};
+
+}  // namespace zinclead::core
+
+#endif  // ZINCLEAD_CORE_SCHEDULING_SCHEDULING_CONTEXT_H_
--- /dev/null
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -0,0 +1,66 @@
+#include "core/scheduling/upcoming_capacity.h"
+
+#include "core/scheduling/free_capacity.h"
+
+namespace zinclead::core {
+
+uint32_t UpcomingCapacity::Claim(const Job& job, uint32_t tasks, ZonePlan* zones) {
+  if (!collected_) Collect();
+  const PlacementConstraints search = ConstraintsOf(job);
+  if (unschedulable_.Contains(search)) return tasks;
+  for (UpcomingMachine& machine : machines_) {
+    if (tasks == 0) break;
+    if (!OfferAllowed(job, machine.offer)) continue;
+    const std::string& zone = machine.offer.zone;
+    while (tasks > 0 && job.request.Fits(machine.free) && ZoneAllowed(job, zone, *zones)) {
+      machine.free -= job.request;
+      ++zones->planned[zone];
+      --tasks;
+    }
+  }
+  if (tasks > 0 && HasOnlyStaticConstraints(job)) unschedulable_.Add(search);
+  return tasks;
+}
+
+void UpcomingCapacity::Add(const wire::MachineType& type, const MachineOffer& offer, int count) {
+  AddMachines(type, offer, count);
+  unschedulable_.Clear();
+}
+
+void UpcomingCapacity::Collect() {
+  collected_ = true;
+  const ClusterState& state = context_.state;
+  for (const auto& [id, machine] : state.machines) {
+    if (!IsUpcoming(*machine)) continue;
+    machines_.push_back(
+        {{machine->type_name, machine->zone, machine->spot}, AvailableOn(state, *machine)});
+  }
+  for (const auto& [name, scale_out] : state.scale_outs) {
+    if (scale_out->answered) continue;
+    const auto type = state.types.find(scale_out->type);
+    if (type == state.types.end()) continue;
+    AddMachines(type->second, {scale_out->type, scale_out->zone, scale_out->spot},
+                scale_out->count);
+  }
+}
+
+bool UpcomingCapacity::IsUpcoming(const Machine& machine) const {
+  if (machine.cordoned || machine.type == nullptr || machine.from_list) return false;
+  if (machine.stage == MachineStage::kBooting) {
+    // Past that it may never come up.
+    return context_.now - machine.requested_at <=
+           context_.state.operator_settings.boot_late * machine.type->boot_s;
+  }
+  if (machine.dispatchable && machine.acknowledged && !machine.epoch_expired) return false;
+  // Without heartbeats it may be lost.
+  return context_.now - machine.last_heartbeat_at <= context_.state.settings.lease_s / 2;
+}
+
+void UpcomingCapacity::AddMachines(const wire::MachineType& type, const MachineOffer& offer,
+                                   int count) {
+  for (int i = 0; i < count; ++i) {
+    machines_.push_back({offer, {type.cpus, type.gpus, type.memory_gb}});
+  }
+}
+
+}  // namespace zinclead::core
