--- a/src/core/attempt_tracker.cc
+++ b/src/core/attempt_tracker.cc
@@ -58,14 +58,14 @@
   ReleaseAllocation(a);
   Job* job = a->job;
   Machine* m = a->machine;
-  TaskBackToPending(a, wire::EndCause::kNone, now);
+  ReturnTaskToPending(a, wire::EndCause::kNone, now);
   state_.unsent_services.erase(KeyOf(*a));
   if (job->gang && job->pending > 0)
     state_.schedule_due = true;  // it may be replaced on this machine
   job->attempts.erase(a);
   m->attempts.erase(KeyOf(*a));
   if (m->attempts.empty()) m->idle_since = now;
-  FinishJobIfOver(job);
+  ArchiveJobIfFinished(job);
 }
 
 void AttemptTracker::DropAllAttempts(Machine* m, double now) {
@@ -78,7 +78,7 @@
 }
 
 // `cause`: why it ended there; kNone if it is gone without having said so.
-void AttemptTracker::TaskBackToPending(Attempt* from, wire::EndCause cause, double now) {
+void AttemptTracker::ReturnTaskToPending(Attempt* from, wire::EndCause cause, double now) {
   Job* job = from->job;
   const uint32_t index = from->index;
   const auto it = job->active.find(index);
@@ -140,7 +140,7 @@
   for (Attempt* a : job->attempts) StopAttempt(a, 0, now);
 }
 
-void AttemptTracker::FinishJobIfOver(Job* job) {
+void AttemptTracker::ArchiveJobIfFinished(Job* job) {
   if (job->final_state == FinalState::kNone || !job->attempts.empty()) return;
   const std::string key = JobKey(job->spec.id);
   if (queue_.Contains(key) || queue_.HasWriteInFlight(key)) return;
--- a/src/core/attempt_tracker.h
+++ b/src/core/attempt_tracker.h
@@ -24,13 +24,13 @@
   void ReleaseAllocation(Attempt* a);
   void RemoveAttempt(Attempt* a, double now);
   void DropAllAttempts(Machine* m, double now);
-  void TaskBackToPending(Attempt* from, wire::EndCause cause, double now);
+  void ReturnTaskToPending(Attempt* from, wire::EndCause cause, double now);
   void StopAttempt(Attempt* a, double grace_s, double now);
   void OnTaskDone(Attempt* a, double now);
   void StopJob(Job* job, double now);
-  void FinishJobIfOver(Job* job);
+  void ArchiveJobIfFinished(Job* job);
   void StopGang(Job* job, bool save, double now);
-  void StopToSave(Attempt* a, double now);
+  void StopWithCheckpoint(Attempt* a, double now);
   void AdoptGangTask(Attempt* a, double now);
   bool CanStopAllTasks(const Job& job, double now) const;
   void OnGangTaskListed(Attempt* a);
--- a/src/core/cluster_state.cc
+++ b/src/core/cluster_state.cc
@@ -49,6 +49,11 @@
   return job;
 }
 
+Machine* ClusterState::FindMachine(const std::string& id) const {
+  const auto it = machines.find(id);
+  return it == machines.end() ? nullptr : it->second.get();
+}
+
 Job* ClusterState::FindJob(const std::string& id) const {
   const auto it = jobs.find(id);
   return it == jobs.end() ? nullptr : it->second.get();
--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -36,6 +36,8 @@
 
   // Null if no such job is known, or it is over and nothing of it is left on any machine.
   Job* FindJob(const std::string& id) const;
+  // Null if no such machine is known.
+  Machine* FindMachine(const std::string& id) const;
   // A job of which nothing has started. The caller adds it to `jobs`.
   std::unique_ptr<Job> NewJob(const wire::JobSpec& spec, int64_t accepted_ms, double accepted_at);
 
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -228,7 +228,7 @@
     Job* job = state_.FindJob(rest.substr(0, slash));
     if (job == nullptr) return;
     progress_.MarkStored(job, in_flight.done);
-    progress_.OnPartStored(
+    progress_.OnChunkStored(
         job, static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10)));
   } else if (StartsWith(key, kJobPrefix)) {
     Job* job = state_.FindJob(key.substr(kJobPrefix.size()));
@@ -274,7 +274,7 @@
   // Nothing of a finished job may run on: strays of a done job, everything of a cancelled one.
   attempts_.StopJob(job, now);
   progress_.DeleteChunks(*job);
-  attempts_.FinishJobIfOver(job);
+  attempts_.ArchiveJobIfFinished(job);
 }
 
 }  // namespace zinclead::core
--- a/src/core/failover_reconciler.cc
+++ b/src/core/failover_reconciler.cc
@@ -17,7 +17,7 @@
   for (auto& [id, job] : state_.jobs) {
     if (job->final_state != FinalState::kNone && job->attempts.empty()) over.push_back(job.get());
   }
-  for (Job* job : over) attempts_.FinishJobIfOver(job);
+  for (Job* job : over) attempts_.ArchiveJobIfFinished(job);
 }
 
 void FailoverReconciler::OnEarlierLeadersEnded(double now) {
--- a/src/core/gang_lifecycle.cc
+++ b/src/core/gang_lifecycle.cc
@@ -32,7 +32,7 @@
 
 // Stops a task so that it can save: of a gang, with all others. A gang that can't be told in time
 // runs on; it would lose no less by the stop.
-void AttemptTracker::StopToSave(Attempt* a, double now) {
+void AttemptTracker::StopWithCheckpoint(Attempt* a, double now) {
   if (a->job->gang) {
     if (CanStopAllTasks(*a->job, now)) StopGang(a->job, true, now);
   } else {
--- a/src/core/heartbeat_handler.cc
+++ b/src/core/heartbeat_handler.cc
@@ -10,11 +10,12 @@
 // A machine on which the tasks of this many jobs failed is faulty.
 constexpr size_t kFaultyMachineThreshold = 2;
 
-// A job that fails everywhere is tried again after at most this many doublings of the retry
-// interval: machines may be at fault all the same, and no job waits 90 s beside room.
-constexpr int kMostFaultDoublings = 3;
+// A job that fails on every machine is retried after at most this many doublings of the retry
+// interval: the machines may be at fault all the same, and no job may wait 90 s beside free
+// capacity.
+constexpr int kMaxFaultDoublings = 3;
 
-// An answer is on its way for this share of a report period before its effect can be missed.
+// A response is in flight for this share of a heartbeat interval before its effect can be missed.
 constexpr double kResponseDelayShare = 0.1;
 
 AttemptPhase PhaseOf(wire::TaskPhase phase) {
@@ -33,272 +34,297 @@
   return AttemptPhase::kEnded;
 }
 
-bool OnMachine(AttemptPhase phase) {
-  return phase == AttemptPhase::kRunning || phase == AttemptPhase::kSaving;
+wire::Command CommandFor(wire::CommandOp op, const Attempt& attempt, double grace_s = 0) {
+  return {op, {attempt.job->spec.id, attempt.index}, attempt.number, grace_s};
 }
 
-wire::Command CommandFor(wire::CommandOp op, const Attempt& a, double grace_s = 0) {
-  return {op, {a.job->spec.id, a.index}, a.number, grace_s};
+HeartbeatResult Rejected() {
+  HeartbeatResult result;
+  result.reject = true;
+  return result;
+}
+
+bool Lists(const wire::Heartbeat& heartbeat, const Attempt& attempt) {
+  return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                     [&](const wire::TaskStatus& task) {
+                       return task.attempt == attempt.number && task.task.index == attempt.index &&
+                              task.task.job == attempt.job->spec.id;
+                     });
 }
 
 }  // namespace
 
 HeartbeatResult HeartbeatHandler::OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
                                               bool lease_expired) {
-  HeartbeatResult result;
-  if (state_.terminated.contains(heartbeat.machine)) {
-    result.reject = true;  // a late message of a machine that is gone
-    return result;
-  }
-  Machine* m = nullptr;
-  if (const auto it = state_.machines.find(heartbeat.machine); it != state_.machines.end()) {
-    m = it->second.get();
-  } else {
+  // Of a terminated machine only delayed messages arrive.
+  if (state_.terminated.contains(heartbeat.machine)) return Rejected();
+  Machine* machine = state_.FindMachine(heartbeat.machine);
+  if (machine == nullptr) {
     // The records name every machine that can hold a task. One that they don't name and that lists
-    // tasks has been deleted, maybe by an earlier leader: this is a late copy of its reports.
-    if (!heartbeat.tasks.empty()) {
-      result.reject = true;
-      return result;
-    }
+    // tasks was terminated, maybe by an earlier leader: this is a delayed copy of its heartbeat.
+    if (!heartbeat.tasks.empty()) return Rejected();
     // Such a copy may also list nothing. Only what shows this term was surely sent in it: until
-    // then the machine gets an answer, so that it learns the term, and is not taken in.
-    if (heartbeat.fencing_token < state_.term) return result;
-    m = registry_.AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
-                               now);
-  }
-  if (heartbeat.agent_epoch < m->agent_epoch ||
-      (heartbeat.agent_epoch == m->agent_epoch && heartbeat.sequence <= m->sequence)) {
-    // Late or repeated. Its worker no longer waits for an answer to it.
-    result.reject = true;
-    return result;
-  }
-  if (m->acknowledged && heartbeat.fencing_token < state_.term) {
-    // A worker keeps the highest token it has seen. So this is a late copy from before the machine
-    // came back with its counters begun anew, and tells nothing of what is on it now; or the
-    // machine has forgotten the term, may be commanded by an earlier leader, and is better
-    // replaced.
-    result.reject = true;
-    return result;
-  }
-  if (heartbeat.agent_epoch == m->agent_epoch && m->epoch_expired) {
-    // Its session has provably ended and its tasks may run elsewhere: never renew it.
-    result.reject = true;
-    return result;
+    // then the machine gets a response, so that it learns the term, and is not adopted.
+    if (heartbeat.fencing_token < state_.term) return {};
+    machine = registry_.AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone,
+                                     heartbeat.spot, now);
   }
-  const bool new_epoch = m->agent_epoch != 0 && heartbeat.agent_epoch > m->agent_epoch;
-  DetectDownlinkLoss(m, heartbeat, new_epoch, now);
-  if (m->downlink_lost) {
-    // Nothing of ours reaches it: no answer may seem to renew its lease, and a new session does not
-    // make it hear. It is being deleted.
-    m->agent_epoch = heartbeat.agent_epoch;
-    m->sequence = heartbeat.sequence;
-    if (new_epoch) attempts_.DropAllAttempts(m, now);
-    result.reject = true;
-    return result;
-  }
-  if (new_epoch)
-    attempts_.DropAllAttempts(m, now);  // the worker killed them all when its session ended
-  m->epoch_expired = false;
-  m->agent_epoch = heartbeat.agent_epoch;
-  m->sequence = heartbeat.sequence;
-  m->last_heartbeat_at = now;
-  m->from_list = false;
-  if (m->stage == MachineStage::kBooting) {
-    m->stage = MachineStage::kUp;
-    m->idle_since = now;
+  if (IsStale(*machine, heartbeat)) return Rejected();
+
+  const bool new_epoch = machine->agent_epoch != 0 && heartbeat.agent_epoch > machine->agent_epoch;
+  DetectDownlinkLoss(machine, heartbeat, new_epoch, now);
+  // In a new epoch the worker has killed all tasks of the one before.
+  if (new_epoch) attempts_.DropAllAttempts(machine, now);
+  machine->agent_epoch = heartbeat.agent_epoch;
+  machine->sequence = heartbeat.sequence;
+  // No response reaches it, so none may seem to renew its lease, and a new epoch does not mend
+  // that. It is being terminated.
+  if (machine->downlink_lost) return Rejected();
+
+  HeartbeatResult result;
+  UpdateMachine(machine, heartbeat, now);
+  ReconcileTasks(machine, heartbeat, now, &result.commands);
+  if (!lease_expired) AcknowledgeTerm(machine, heartbeat);
+  RevokeUndelivered(machine, now);
+  if (!lease_expired) ScheduleOn(machine, now);
+  AppendCommands(machine, lease_expired, &result.commands);
+  return result;
+}
+
+bool HeartbeatHandler::IsStale(const Machine& machine, const wire::Heartbeat& heartbeat) const {
+  // Delayed or repeated. Its worker no longer waits for a response to it.
+  if (heartbeat.agent_epoch < machine.agent_epoch) return true;
+  const bool same_epoch = heartbeat.agent_epoch == machine.agent_epoch;
+  if (same_epoch && heartbeat.sequence <= machine.sequence) return true;
+  // A worker keeps the highest fencing token it has seen. So this is a delayed copy from before the
+  // machine restarted with its counters reset, and tells nothing of what is on it now; or the
+  // machine has lost the term, may be commanded by an earlier leader, and is better replaced.
+  if (machine.acknowledged && heartbeat.fencing_token < state_.term) return true;
+  // Its epoch has provably ended and its tasks may run elsewhere: never renew it.
+  return same_epoch && machine.epoch_expired;
+}
+
+void HeartbeatHandler::UpdateMachine(Machine* machine, const wire::Heartbeat& heartbeat,
+                                     double now) {
+  machine->epoch_expired = false;
+  machine->last_heartbeat_at = now;
+  machine->from_list = false;
+  if (machine->stage == MachineStage::kBooting) {
+    machine->stage = MachineStage::kUp;
+    machine->idle_since = now;
     state_.schedule_due = true;
   }
-  if (!m->dispatchable && !m->dispatchable_requested && !m->terminating) {
+  if (!machine->dispatchable && !machine->dispatchable_requested && !machine->Terminating()) {
     // The record must say that tasks may be here before the first one is sent.
-    m->dispatchable_requested = true;
-    queue_.Enqueue(std::string(kMachinePrefix) + m->record, Importance::kUser);
+    machine->dispatchable_requested = true;
+    queue_.Enqueue(ScaleOutKey(machine->record), Importance::kUser);
   }
   if (heartbeat.notice_s) {
-    m->notice_at = now + *heartbeat.notice_s;
-    if (!m->cordoned) {
-      m->cordoned = true;
+    machine->notice_at = now + *heartbeat.notice_s;
+    if (machine->Schedulable()) {
+      machine->Cordon();
       state_.schedule_due = true;
     }
   }
+}
 
-  // What earlier terms started here is taken over until the worker has seen this term: from then on
-  // only this leader starts anything here.
-  const bool may_adopt = !m->acknowledged;
+void HeartbeatHandler::ReconcileTasks(Machine* machine, const wire::Heartbeat& heartbeat,
+                                      double now, std::vector<wire::Command>* commands) {
   ++state_.heartbeat_count;
   for (const wire::TaskStatus& task : heartbeat.tasks) {
-    OnListedTask(m, task, now, may_adopt, &result.commands);
+    ReconcileTaskStatus(machine, task, now, commands);
   }
   std::vector<Attempt*> vanished;
-  for (auto& [key, a] : m->attempts) {
-    if (a->listed_in_heartbeat == state_.heartbeat_count) continue;
-    // Listed before: forgotten by command, or lost. Never listed: if a start was in an answer to an
-    // earlier report, the worker dropped that answer for good, so a stop is complete at once.
-    if (a->listed || a->stop) vanished.push_back(a.get());
-  }
-  for (Attempt* a : vanished) attempts_.RemoveAttempt(a, now);
-
-  // A lapsed leader keeps up what runs, but takes no machine over: one that came back with its
-  // token forgotten may have followed a newer leader, which does not wait for it any more.
-  if (heartbeat.fencing_token >= state_.term && !m->acknowledged && !lease_expired) {
-    m->acknowledged = true;
-    state_.schedule_due = true;
-    reconciler_.CheckReconciled();
+  for (auto& [key, attempt] : machine->attempts) {
+    if (attempt->listed_in_heartbeat == state_.heartbeat_count) continue;
+    // Listed before: its completion was acknowledged, or it was lost. Never listed: if a start was
+    // in the response to an earlier heartbeat, the worker dropped that response for good, so a stop
+    // is complete at once.
+    if (attempt->listed || attempt->stop) vanished.push_back(attempt.get());
   }
+  for (Attempt* attempt : vanished) attempts_.RemoveAttempt(attempt, now);
+}
 
-  RevokeUndelivered(m, now);
+void HeartbeatHandler::AcknowledgeTerm(Machine* machine, const wire::Heartbeat& heartbeat) {
+  if (heartbeat.fencing_token < state_.term || machine->acknowledged) return;
+  machine->acknowledged = true;
+  state_.schedule_due = true;
+  reconciler_.CheckReconciled();
+}
 
-  // A start waits for the report of its machine, up to a report period and a quarter. What waits
-  // for another machine's is started here if this one suits as well.
-  if (!lease_expired && !state_.unsent_services.empty() && m->Usable())
-    scheduler_.StealUnsentServices(m, now);
+void HeartbeatHandler::ScheduleOn(Machine* machine, double now) {
+  // A start waits for the heartbeat of its machine, up to the longest heartbeat interval. What
+  // waits for another machine's is started here if this one suits as well.
+  if (!state_.unsent_services.empty() && machine->Usable())
+    scheduler_.StealUnsentServices(machine, now);
 
-  // Freed room is filled in this very answer rather than in the next one.
-  if (!lease_expired && state_.schedule_due && m->Usable()) {
-    if (now >= state_.cycle_rate_limiter.next_at()) {
-      scheduler_.RunSchedulingCycle(now);
-    } else {
-      scheduler_.BackfillMachine(m, now);
-    }
+  // Freed capacity is used in this very response rather than in the next one.
+  if (!state_.schedule_due || !machine->Usable()) return;
+  if (now >= state_.cycle_rate_limiter.next_at()) {
+    scheduler_.RunSchedulingCycle(now);
+  } else {
+    scheduler_.BackfillMachine(machine, now);
   }
+}
 
-  for (auto& [key, a] : m->attempts) {
-    if (a->phase == AttemptPhase::kEnded) {
-      if (MayAcknowledgeCompletion(*a))
-        result.commands.push_back(CommandFor(wire::CommandOp::kAcknowledgeCompletion, *a));
-    } else if (a->stop) {
-      if (a->phase != AttemptPhase::kSaving || a->grace_s == 0) {
-        result.commands.push_back(CommandFor(wire::CommandOp::kStop, *a, a->grace_s));
-      }
-    } else if (a->phase == AttemptPhase::kPlaced && !lease_expired && a->job->Live()) {
-      // What ends with the lease is the right to start, not the duty to keep leases alive: a newer
-      // leader may have told a user that the job is cancelled, and from then on none of its tasks
-      // may start. Nor is a start repeated while the cancellation is on its way to the store.
-      a->start_sent = true;
-      state_.unsent_services.erase(AttemptTracker::KeyOf(*a));
-      result.commands.push_back(CommandFor(wire::CommandOp::kStart, *a));
+void HeartbeatHandler::AppendCommands(Machine* machine, bool lease_expired,
+                                      std::vector<wire::Command>* commands) {
+  for (auto& [key, attempt] : machine->attempts) {
+    if (attempt->phase == AttemptPhase::kEnded) {
+      if (MayAcknowledgeCompletion(*attempt))
+        commands->push_back(CommandFor(wire::CommandOp::kAcknowledgeCompletion, *attempt));
+    } else if (attempt->stop) {
+      if (attempt->phase != AttemptPhase::kSaving || attempt->grace_s == 0)
+        commands->push_back(CommandFor(wire::CommandOp::kStop, *attempt, attempt->grace_s));
+    } else if (attempt->phase == AttemptPhase::kPlaced && !lease_expired && attempt->job->Live()) {
+      // What ends with the leader's lease is the right to start, not the duty to keep the workers'
+      // leases alive: a newer leader may have told a user that the job is cancelled, and from then
+      // on none of its tasks may start. Nor is a start repeated while the cancellation is being
+      // stored.
+      attempt->start_sent = true;
+      state_.unsent_services.erase(AttemptTracker::KeyOf(*attempt));
+      commands->push_back(CommandFor(wire::CommandOp::kStart, *attempt));
     }
   }
-  return result;
 }
 
-// A machine whose reports arrive but which our answers don't reach goes on reporting, in a new
-// session after each lease. It would be sent starts for ever, never list them, and hold up a
-// takeover, since it never shows the term. So life is not that it reports but that it has shown to
-// have received something: a report that knows nothing of what earlier answers said counts against
-// it. CheckMachines deletes those that are deaf, unless so many are that it must be us.
-void HeartbeatHandler::DetectDownlinkLoss(Machine* m, const wire::Heartbeat& heartbeat,
+// A machine that lost its downlink goes on sending heartbeats, in a new epoch after each lease. It
+// would be sent starts for ever, never list them, and hold up a failover, since it never shows the
+// term. So a heartbeat alone is no sign of life: one that shows nothing of what earlier responses
+// said counts against its machine. MachineLifecycle terminates such machines, unless they are so
+// many that the fault must be the leader's.
+void HeartbeatHandler::DetectDownlinkLoss(Machine* machine, const wire::Heartbeat& heartbeat,
                                           bool new_epoch, double now) {
-  if (m->agent_epoch == 0 ||
-      now - m->last_heartbeat_at < kResponseDelayShare * state_.settings.heartbeat_interval_s)
-    return;
-  bool heard = false;
-  bool missed = false;
+  switch (DeliveryShownBy(heartbeat, *machine, new_epoch, now)) {
+    case Delivery::kAcknowledged:
+      machine->unacknowledged_responses = 0;
+      break;
+    case Delivery::kMissed:
+      if (machine->unacknowledged_responses++ == 0) machine->unacknowledged_since = now;
+      machine->last_unacknowledged_at = now;
+      break;
+    case Delivery::kUnknown:
+      break;
+  }
+}
+
+HeartbeatHandler::Delivery HeartbeatHandler::DeliveryShownBy(const wire::Heartbeat& heartbeat,
+                                                             const Machine& machine, bool new_epoch,
+                                                             double now) const {
+  const double since_last_s = now - machine.last_heartbeat_at;
+  if (machine.agent_epoch == 0 ||
+      since_last_s < kResponseDelayShare * state_.settings.heartbeat_interval_s)
+    return Delivery::kUnknown;
   if (new_epoch) {
-    missed = now - m->last_heartbeat_at < state_.settings.lease_s;  // it was being answered
-  } else if (heartbeat.fencing_token < state_.term) {
-    missed = true;
-  } else {
-    heard = !m->acknowledged;
-    for (const auto& [key, a] : m->attempts) {
-      if (!a->start_sent || a->listed) continue;
-      missed = true;
-      for (const wire::TaskStatus& task : heartbeat.tasks) {
-        if (task.attempt == a->number && task.task.index == a->index &&
-            task.task.job == a->job->spec.id) {
-          heard = true;
-        }
-      }
-    }
+    // Its epoch ended although its heartbeats were answered.
+    return since_last_s < state_.settings.lease_s ? Delivery::kMissed : Delivery::kUnknown;
   }
-  if (heard) {
-    m->unacknowledged_responses = 0;
-  } else if (missed) {
-    if (m->unacknowledged_responses++ == 0) m->unacknowledged_since = now;
-    m->last_unacknowledged_at = now;
+  if (heartbeat.fencing_token < state_.term) return Delivery::kMissed;
+  if (!machine.acknowledged) return Delivery::kAcknowledged;
+  bool missed = false;
+  for (const auto& [key, attempt] : machine.attempts) {
+    if (!attempt->start_sent || attempt->listed) continue;
+    if (Lists(heartbeat, *attempt)) return Delivery::kAcknowledged;
+    missed = true;
   }
+  return missed ? Delivery::kMissed : Delivery::kUnknown;
 }
 
-// What was sent to a machine that seems not to hear us, and that its later reports don't list, was
-// not executed and never will be: it need not wait there for the end of its lease.
-void HeartbeatHandler::RevokeUndelivered(Machine* m, double now) {
-  if (m->ReceivesCommands()) return;
+// What was sent to a machine that seems to receive nothing, and that its later heartbeats don't
+// list, was not executed and never will be: it need not wait there for the end of its lease.
+void HeartbeatHandler::RevokeUndelivered(Machine* machine, double now) {
+  if (machine->ReceivesCommands()) return;
   std::vector<Attempt*> undelivered;
-  for (auto& [key, a] : m->attempts) {
-    if (a->phase == AttemptPhase::kPlaced && !a->listed) undelivered.push_back(a.get());
+  for (auto& [key, attempt] : machine->attempts) {
+    if (attempt->phase == AttemptPhase::kPlaced && !attempt->listed)
+      undelivered.push_back(attempt.get());
   }
-  for (Attempt* a : undelivered) attempts_.RemoveAttempt(a, now);
+  for (Attempt* attempt : undelivered) attempts_.RemoveAttempt(attempt, now);
 }
 
-void HeartbeatHandler::OnListedTask(Machine* m, const wire::TaskStatus& listed, double now,
-                                    bool may_adopt, std::vector<wire::Command>* extra) {
+void HeartbeatHandler::ReconcileTaskStatus(Machine* machine, const wire::TaskStatus& listed,
+                                           double now, std::vector<wire::Command>* commands) {
   Job* job = state_.FindJob(listed.task.job);
   const bool ended = listed.phase == wire::TaskPhase::kEnded;
   if (job == nullptr || listed.task.index >= job->spec.tasks) {
-    // Over, or never accepted: accepted jobs are stored before anything of them starts. It counts
-    // for no team, and need not: until the machine acknowledges the term teams with a limit wait,
-    // and the answer that brings it the term brings this stop.
-    extra->push_back({ended ? wire::CommandOp::kAcknowledgeCompletion : wire::CommandOp::kStop,
-                      listed.task, listed.attempt, 0});
+    // Finished, or never accepted: accepted jobs are stored before any of their tasks starts. It
+    // counts for no team, and need not: until the machine acknowledges the term teams with a limit
+    // wait, and the response that brings it the term brings this stop.
+    commands->push_back({ended ? wire::CommandOp::kAcknowledgeCompletion : wire::CommandOp::kStop,
+                         listed.task, listed.attempt, 0});
     return;
   }
-  const auto it = m->attempts.find({job->serial, listed.task.index, listed.attempt});
-  Attempt* a = nullptr;
-  if (it != m->attempts.end()) {
-    a = it->second.get();
+  const auto known = machine->attempts.find({job->serial, listed.task.index, listed.attempt});
+  Attempt* attempt = known != machine->attempts.end() ? known->second.get()
+                                                      : AddListedAttempt(machine, job, listed, now);
+  attempt->listed = true;
+  attempt->listed_in_heartbeat = state_.heartbeat_count;
+  if (attempt->phase == AttemptPhase::kEnded) return;
+  if (ended) {
+    OnTaskEnded(attempt, listed.cause, now);
   } else {
-    a = attempts_.AddAttempt(m, job, listed.task.index, listed.attempt, now);
-    if (!ended && may_adopt && job->Live() && job->tasks[a->index] == TaskState::kPending) {
-      attempts_.Activate(a);
-      if (job->gang) attempts_.AdoptGangTask(a, now);
-    } else if (!ended) {
-      attempts_.StopAttempt(a, 0, now);  // a stray: the task is over, or its place is elsewhere
-    }
+    UpdatePhase(attempt, PhaseOf(listed.phase), now);
   }
-  a->listed = true;
-  a->listed_in_heartbeat = state_.heartbeat_count;
-  if (a->phase == AttemptPhase::kEnded) return;
-  const AttemptPhase phase = PhaseOf(listed.phase);
-  if (phase == AttemptPhase::kEnded) {
-    OnEnded(a, listed.cause, now);
-    return;
+}
+
+Attempt* HeartbeatHandler::AddListedAttempt(Machine* machine, Job* job,
+                                            const wire::TaskStatus& listed, double now) {
+  // What earlier terms started here is adopted until the worker has seen this term: from then on
+  // only this leader starts anything here.
+  const bool may_adopt = !machine->acknowledged;
+  Attempt* attempt = attempts_.AddAttempt(machine, job, listed.task.index, listed.attempt, now);
+  if (listed.phase == wire::TaskPhase::kEnded) return attempt;
+  if (may_adopt && job->Live() && job->tasks[attempt->index] == TaskState::kPending) {
+    attempts_.Activate(attempt);
+    if (job->gang) attempts_.AdoptGangTask(attempt, now);
+  } else {
+    // A duplicate: the task is done, or another attempt counts for it.
+    attempts_.StopAttempt(attempt, 0, now);
   }
-  if (OnMachine(phase) != OnMachine(a->phase)) {
-    if (OnMachine(phase)) {
+  return attempt;
+}
+
+void HeartbeatHandler::UpdatePhase(Attempt* attempt, AttemptPhase phase, double now) {
+  Job* job = attempt->job;
+  const bool executing = IsExecuting(phase);
+  if (executing != IsExecuting(attempt->phase)) {
+    if (executing) {
       ++job->running;
-      a->running_since = now;
+      attempt->running_since = now;
     } else {
       --job->running;
     }
   }
-  if (OnMachine(phase)) job->started = true;
-  if (OnMachine(phase) || phase == AttemptPhase::kWaiting) m->images.insert(job->spec.image);
-  a->phase = phase;
-  if (job->gang) attempts_.OnGangTaskListed(a);
-  if (job->final_state != FinalState::kNone) attempts_.StopAttempt(a, 0, now);
+  if (executing) job->started = true;
+  if (executing || phase == AttemptPhase::kWaiting)
+    attempt->machine->images.insert(job->spec.image);
+  attempt->phase = phase;
+  if (job->gang) attempts_.OnGangTaskListed(attempt);
+  if (job->final_state != FinalState::kNone) attempts_.StopAttempt(attempt, 0, now);
 }
 
-void HeartbeatHandler::OnEnded(Attempt* a, wire::EndCause cause, double now) {
-  Job* job = a->job;
-  Machine* m = a->machine;
-  attempts_.ReleaseAllocation(a);
-  a->phase = AttemptPhase::kEnded;
-  a->cause = cause;
-  if (m->attempts.size() == 1) m->idle_since = now;
+void HeartbeatHandler::OnTaskEnded(Attempt* attempt, wire::EndCause cause, double now) {
+  Job* job = attempt->job;
+  Machine* machine = attempt->machine;
+  attempts_.ReleaseAllocation(attempt);
+  attempt->phase = AttemptPhase::kEnded;
+  attempt->cause = cause;
+  if (machine->attempts.size() == 1) machine->idle_since = now;
   if (cause == wire::EndCause::kDone) {
     job->started = true;
-    m->failed_jobs.clear();
-    if (job->Live()) attempts_.OnTaskDone(a, now);
+    machine->failed_jobs.clear();
+    if (job->Live()) attempts_.OnTaskDone(attempt, now);
     return;
   }
-  attempts_.TaskBackToPending(a, cause, now);
+  attempts_.ReturnTaskToPending(attempt, cause, now);
   switch (cause) {
     case wire::EndCause::kError:
-      OnTaskError(m, job, now);
+      OnTaskError(machine, job, now);
       break;
     case wire::EndCause::kInsufficientCapacity:
     case wire::EndCause::kConflict:
-      // Something is on the machine that we do not count; its next reports will tell.
-      m->full_until = now + state_.settings.heartbeat_interval_s;
+      // Something is on the machine that the leader does not count; the next heartbeats will tell.
+      machine->full_until = now + state_.settings.heartbeat_interval_s;
       break;
     case wire::EndCause::kUnknownTask:
       job->not_before = now + state_.operator_settings.retry_s;
@@ -308,25 +334,27 @@
   }
 }
 
-void HeartbeatHandler::OnTaskError(Machine* m, Job* job, double now) {
-  job->failed_on[m->id] = now;
-  m->failed_jobs.insert(job->spec.id);
+void HeartbeatHandler::OnTaskError(Machine* machine, Job* job, double now) {
+  job->failed_on[machine->id] = now;
+  machine->failed_jobs.insert(job->spec.id);
   if (job->failed_on.size() >= kFaultyJobThreshold) {
     // A mistake in the job: it fails everywhere. It backs off, and no machine is blamed for it.
     const int doublings = std::min<int>(
-        static_cast<int>(job->failed_on.size() - kFaultyJobThreshold), kMostFaultDoublings);
+        static_cast<int>(job->failed_on.size() - kFaultyJobThreshold), kMaxFaultDoublings);
     job->not_before = now + state_.operator_settings.retry_s * std::pow(2.0, doublings);
-    for (auto& [id, machine] : state_.machines) machine->failed_jobs.erase(job->spec.id);
+    for (auto& [id, other] : state_.machines) other->failed_jobs.erase(job->spec.id);
     return;
   }
-  if (m->failed_jobs.size() >= kFaultyMachineThreshold) lifecycle_.Cordon(m, now);
+  if (machine->failed_jobs.size() >= kFaultyMachineThreshold)
+    lifecycle_.CordonAndStop(machine, now);
 }
 
-// A completed task is forgotten only when its completion is durable: until then the worker's list
-// is what a new leader learns it from.
-bool HeartbeatHandler::MayAcknowledgeCompletion(const Attempt& a) const {
-  if (a.cause != wire::EndCause::kDone) return true;
-  return a.job->final_state != FinalState::kNone || a.job->tasks[a.index] == TaskState::kDone;
+// A completion is acknowledged only when it is durable: until then the worker's list is what a new
+// leader learns it from.
+bool HeartbeatHandler::MayAcknowledgeCompletion(const Attempt& attempt) const {
+  if (attempt.cause != wire::EndCause::kDone) return true;
+  const Job& job = *attempt.job;
+  return job.final_state != FinalState::kNone || job.tasks[attempt.index] == TaskState::kDone;
 }
 
 }  // namespace zinclead::core
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -28,9 +28,9 @@
 // Splits the progress of a job that another version stored in chunks too large for the limits that
 // hold now. Every state in between is one that every version reads without losing progress:
 // kCollapsing stores all of it in the job's record, with a chunk that covers the whole job, so that
-// other chunk records mean nothing; kWritingParts stores the smaller chunks beside it; kSwitching
+// other chunk records mean nothing; kWritingChunks stores the smaller chunks beside it; kSwitching
 // stores the job's record with the smaller chunk size.
-enum class ChunkSplit : uint8_t { kNone, kCollapsing, kWritingParts, kSwitching };
+enum class ChunkSplit : uint8_t { kNone, kCollapsing, kWritingChunks, kSwitching };
 
 struct Job {
   uint64_t serial = 0;
@@ -44,7 +44,7 @@
   FinalState final_state = FinalState::kNone;  // durable
   uint32_t done_chunk = 0;                     // tasks a chunk of the done set covers
   ChunkSplit chunk_split = ChunkSplit::kNone;
-  std::set<uint32_t> parts_left;  // kWritingParts: chunk records that are not stored yet
+  std::set<uint32_t> unwritten_chunks;  // kWritingChunks: chunk records that are not stored yet
   std::vector<TaskState> tasks;
   uint32_t pending = 0;
   uint32_t done = 0;         // in memory
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -149,7 +149,7 @@
       state_.terminated.insert(id);
       RemoveMachine(id, now);
     } else if (it != state_.machines.end()) {
-      it->second->termination_sent = false;
+      it->second->OnTerminationFailed();
       it->second->terminate_retry_at = now + state_.operator_settings.retry_s / 5;
     }
   }
@@ -174,14 +174,13 @@
       Machine* m = AdoptMachine(listed.id, listed.type, listed.zone, listed.spot, now);
       m->from_list = true;
       m->requested_at = now - listed.age_s;
-      if (listed.state == wire::ListedState::kFailed) m->cordoned = m->terminating = true;
+      if (listed.state == wire::ListedState::kFailed) m->Terminate();
       continue;
     }
     Machine* m = it->second.get();
     // A failed machine has stopped for good. Only its deletion proves that to us.
-    if (listed.state == wire::ListedState::kFailed && !m->terminating) {
-      m->cordoned = true;
-      m->terminating = true;
+    if (listed.state == wire::ListedState::kFailed && !m->Terminating()) {
+      m->Terminate();
       state_.schedule_due = true;
     }
   }
--- a/src/core/progress_records.cc
+++ b/src/core/progress_records.cc
@@ -81,7 +81,7 @@
   const size_t description = record.dump().size();
   const size_t most = state_.settings.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
   if (description > most) return;  // its record can't be written any more, whatever the chunk
-  if (job->spec.tasks <= job->done_chunk) return WriteParts(job);
+  if (job->spec.tasks <= job->done_chunk) return WriteChunks(job);
   std::vector<uint32_t> covered;
   const std::string done = SerializeDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
   // What does not fit one record stays in the chunks that it has, each with as much as fits.
@@ -90,19 +90,19 @@
   queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
 
-void ProgressRecords::WriteParts(Job* job) {
-  job->chunk_split = ChunkSplit::kWritingParts;
+void ProgressRecords::WriteChunks(Job* job) {
+  job->chunk_split = ChunkSplit::kWritingChunks;
   for (uint32_t chunk = 1; uint64_t{chunk} * ChunkSize() < job->spec.tasks; ++chunk) {
-    job->parts_left.insert(chunk);
+    job->unwritten_chunks.insert(chunk);
     queue_.Enqueue(ProgressKey(job->spec.id, chunk), Importance::kBackground);
   }
-  if (job->parts_left.empty()) OnPartStored(job, 0);
+  if (job->unwritten_chunks.empty()) OnChunkStored(job, 0);
 }
 
-void ProgressRecords::OnPartStored(Job* job, uint32_t chunk) {
-  if (job->chunk_split != ChunkSplit::kWritingParts) return;
-  job->parts_left.erase(chunk);
-  if (!job->parts_left.empty()) return;
+void ProgressRecords::OnChunkStored(Job* job, uint32_t chunk) {
+  if (job->chunk_split != ChunkSplit::kWritingChunks) return;
+  job->unwritten_chunks.erase(chunk);
+  if (!job->unwritten_chunks.empty()) return;
   job->chunk_split = ChunkSplit::kSwitching;
   queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
@@ -110,7 +110,7 @@
 void ProgressRecords::OnJobRecordStored(Job* job, uint32_t chunk) {
   if (job->chunk_split == ChunkSplit::kCollapsing && chunk == job->spec.tasks) {
     job->done_chunk = chunk;
-    WriteParts(job);
+    WriteChunks(job);
   } else if (job->chunk_split == ChunkSplit::kSwitching && chunk == ChunkSize()) {
     job->done_chunk = chunk;
     job->chunk_split = ChunkSplit::kNone;
--- a/src/core/progress_records.h
+++ b/src/core/progress_records.h
@@ -30,11 +30,11 @@
   std::optional<wire::Json> SerializeChunk(const std::string& key, const Job& job, uint32_t chunk);
   void MarkStored(Job* job, const std::vector<uint32_t>& done);
   void OnJobRecordStored(Job* job, uint32_t chunk);
-  void OnPartStored(Job* job, uint32_t chunk);
+  void OnChunkStored(Job* job, uint32_t chunk);
   void DeleteChunks(const Job& job);
 
  private:
-  void WriteParts(Job* job);
+  void WriteChunks(Job* job);
 
   ClusterState& state_;
   RecordQueue& queue_;
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -635,7 +635,7 @@
     if (at_once_s < kMigrationDowntimeS) return;
     std::vector<Machine*> sources;
     for (auto& [id, m] : state_.machines) {
-      if (m->draining && !m->terminating) return;
+      if (m->Draining()) return;
       if (CanBeEvacuated(*m) && state_.headroom_surplus >= m->headroom_slots + m->services &&
           m->services * kMigrationDowntimeS <= at_once_s) {
         sources.push_back(m.get());
@@ -658,7 +658,7 @@
           })) {
         continue;
       }
-      source->draining = source->cordoned = true;
+      source->Drain();
       for (const auto& [key, a] : source->attempts) attempts_.StopAttempt(a.get(), 0, now_);
       state_.next_migration_at = now_ + source->services * kMigrationDowntimeS /
                                             (kMigrationDowntimeShare * patience * services);
@@ -825,7 +825,7 @@
   void FindUpcomingCapacity() {
     upcoming_capacity_known_ = true;
     for (const auto& [id, m] : state_.machines) {
-      if (m->cordoned || m->type == nullptr || m->from_list) continue;
+      if (!m->Schedulable() || m->type == nullptr || m->from_list) continue;
       const bool waiting = m->stage == MachineStage::kBooting || !m->dispatchable ||
                            !m->acknowledged || m->epoch_expired;
       if (!waiting) continue;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -376,7 +376,7 @@
   for (const auto& [id, job] : cluster_->jobs()) {
     if (job->pending == 0) continue;
     for (const auto& [name, m] : cluster_->machines()) {
-      if (m->stage != MachineStage::kUp || !m->acknowledged || m->cordoned) continue;
+      if (m->stage != MachineStage::kUp || !m->acknowledged || !m->Schedulable()) continue;
       Resources free = m->capacity;
       free -= m->used;
       const auto here = job->zone_counts.find(m->zone);
@@ -613,7 +613,7 @@
   Hello("i-1", &tasks);
   Hello("i-1", &tasks);
   EXPECT_TRUE(tasks.empty());
-  EXPECT_TRUE(cluster_->machines().at("i-1")->cordoned);
+  EXPECT_FALSE(cluster_->machines().at("i-1")->Schedulable());
   EXPECT_EQ(cluster_->Schedule(now_).scale_in, std::vector<std::string>{"i-1"});
 }
 
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -202,7 +202,7 @@
   Hello("i-1", &first_);
   EXPECT_TRUE(Has(Hello("i-2", &second_), wire::CommandOp::kStop));
   EXPECT_TRUE(cluster_->machines().at("i-1")->failed_jobs.empty());
-  EXPECT_FALSE(cluster_->machines().at("i-1")->cordoned);
+  EXPECT_TRUE(cluster_->machines().at("i-1")->Schedulable());
   const double gave_up_at = now_;
   while (first_.empty() && now_ < gave_up_at + 10 * operator_settings_.retry_s) {
     (void)cluster_->Schedule(now_);
