--- a/src/core/scheduling/service_consolidation.cc
+++ b/src/core/scheduling/service_consolidation.cc
@@ -83,7 +83,7 @@
   const ClusterState& state = context.state;
   std::vector<Machine*> sources;
   for (const auto& [id, machine] : state.machines) {
-    if (machine->draining && !machine->terminating) return {};
+    if (machine->Draining()) return {};
     if (CanBeEvacuated(context, *machine) &&
         state.headroom_surplus >= machine->headroom_slots + machine->services &&
         machine->services * kMigrationDowntimeS <= budget.concurrent_s) {
@@ -134,7 +134,7 @@
 
 void Evacuate(SchedulingContext* context, const MigrationBudget& budget, Machine* source) {
   ClusterState& state = context->state;
-  source->draining = source->cordoned = true;
+  source->Drain();
   for (const auto& [key, attempt] : source->attempts) {
     context->attempts.StopAttempt(attempt.get(), 0, context->now);
   }
--- a/src/core/scheduling/upcoming_capacity.cc
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -45,7 +45,7 @@
 }
 
 bool UpcomingCapacity::IsUpcoming(const Machine& machine) const {
-  if (machine.cordoned || machine.type == nullptr || machine.from_list) return false;
+  if (!machine.Schedulable() || machine.type == nullptr || machine.from_list) return false;
   if (machine.stage == MachineStage::kBooting) {
     // Past that it may never come up.
     return context_.now - machine.requested_at <=
