--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -33,9 +33,10 @@
       term_(term),
       fence_(std::move(fence)),
       isolated_(std::move(isolated)),
-      cluster_(std::make_unique<core::Cluster>(settings, operator_settings, term, net::SteadyNow(),
-                                               net::WallNow(), std::random_device()(),
-                                               net::SteadyNow)) {
+      locked_cluster_(std::make_unique<core::Cluster>(settings, operator_settings, term,
+                                                      net::SteadyNow(), net::WallNow(),
+                                                      std::random_device()(), net::SteadyNow)),
+      cluster_(locked_cluster_.WithLock([](core::Cluster& cluster) { return &cluster; })) {
   load_started_ = net::SteadyNow();
   Load("");
 }
@@ -44,7 +45,7 @@
   *alive_ = false;
   {
     const std::lock_guard lock(scheduler_->mutex);
-    if (scheduler_->cluster == cluster_.get()) scheduler_->cluster = nullptr;
+    if (scheduler_->cluster == &locked_cluster_) scheduler_->cluster = nullptr;
   }
   // Whether they were carried out is for the next leader to say.
   for (auto& [id, requests] : pending_requests_) {
@@ -80,7 +81,7 @@
   const double now = net::SteadyNow();
   cluster_->FinishLoading(now);
   committer_ = std::make_unique<state::Committer>(
-      loop_, store_, settings_, &scheduler_->mutex, cluster_.get(), fence_, std::move(versions_),
+      loop_, store_, settings_, &locked_cluster_, fence_, std::move(versions_),
       state::Committer::Hooks{[this] { OnStored(); },
                               [elector = elector_] { elector->OnFenced(); }});
   loaded_ = true;
@@ -90,7 +91,7 @@
                records_, now - load_started_, cluster_->ActiveJobs(), cluster_->machines().size());
   {
     const std::lock_guard lock(scheduler_->mutex);
-    scheduler_->cluster = cluster_.get();
+    scheduler_->cluster = &locked_cluster_;
   }
   AfterChange();
   Tick();
--- a/src/service/leader.h
+++ b/src/service/leader.h
@@ -18,6 +18,7 @@
 #include "config/operator_settings.h"
 #include "config/settings.h"
 #include "core/cluster.h"
+#include "core/locked_cluster.h"
 #include "election/elector.h"
 #include "net/event_loop.h"
 #include "net/http_server.h"
@@ -34,11 +35,12 @@
 struct SchedulerState {
   std::mutex mutex;
   std::condition_variable wake;
-  core::Cluster* cluster = nullptr;  // guarded by mutex; null: no term, or not loaded yet
-  double valid_until = 0;            // guarded by mutex; the leader's lease, as it knows it
-  double next_wake = 0;              // guarded by mutex; the scheduler thread's next look
-  bool wake_requested = false;       // guarded by mutex; it should look before that
-  bool stop = false;                 // guarded by mutex
+  // Guarded by mutex; null: no term, or not loaded yet. Its own lock is taken after this one.
+  core::LockedCluster* cluster = nullptr;
+  double valid_until = 0;       // guarded by mutex; the leader's lease, as it knows it
+  double next_wake = 0;         // guarded by mutex; the scheduler thread's next look
+  bool wake_requested = false;  // guarded by mutex; it should look before that
+  bool stop = false;            // guarded by mutex
 };
 
 net::Response ServiceUnavailable(const char* why);
@@ -98,8 +100,9 @@
   SchedulerState* scheduler_;
   const uint64_t term_;
   const wire::VersionPrecondition fence_;
-  const std::function<bool()> isolated_;    // this node has lost the state service and all peers
-  std::unique_ptr<core::Cluster> cluster_;  // guarded by scheduler_->mutex once loaded
+  const std::function<bool()> isolated_;  // this node has lost the state service and all peers
+  core::LockedCluster locked_cluster_;
+  core::Cluster* const cluster_;  // in locked_cluster_; guarded by scheduler_->mutex once loaded
   std::unique_ptr<state::Committer> committer_;
   std::unordered_map<std::string, uint64_t> versions_;
   std::unordered_map<std::string, std::vector<PendingRequest>> pending_requests_;
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -111,11 +111,19 @@
     const double now = net::SteadyNow();
     double wait = settings_.heartbeat_interval_s;
     if (scheduler_.cluster != nullptr) {
-      if (scheduler_.cluster->NextWake() <= now) {
-        core::CloudActions cloud_actions =
-            scheduler_.cluster->Schedule(now, now >= scheduler_.valid_until);
-        const uint64_t term = scheduler_.cluster->term();
-        if (!cloud_actions.empty() || scheduler_.cluster->HasQueuedRecords()) {
+      const auto next_wake = [this] {
+        return scheduler_.cluster->WithLock([](core::Cluster& c) { return c.NextWake(); });
+      };
+      if (next_wake() <= now) {
+        core::CloudActions cloud_actions;
+        uint64_t term = 0;
+        bool write = false;
+        scheduler_.cluster->WithLock([&](core::Cluster& cluster) {
+          cloud_actions = cluster.Schedule(now, now >= scheduler_.valid_until);
+          term = cluster.term();
+          write = cluster.HasQueuedRecords();
+        });
+        if (!cloud_actions.empty() || write) {
           lock.unlock();
           loop_.Post([this, term, cloud_actions = std::move(cloud_actions)] {
             if (leader_ != nullptr && leader_->term() == term) leader_->Apply(cloud_actions);
@@ -124,7 +132,7 @@
         }
         continue;
       }
-      wait = scheduler_.cluster->NextWake() - now;
+      wait = next_wake() - now;
     }
     scheduler_.next_wake = now + wait;
     scheduler_.wake_requested = false;
--- a/src/state/committer.cc
+++ b/src/state/committer.cc
@@ -14,14 +14,13 @@
 }  // namespace
 
 Committer::Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
-                     std::mutex* mutex, core::Cluster* cluster, wire::VersionPrecondition fence,
+                     core::LockedCluster* cluster, wire::VersionPrecondition fence,
                      std::unordered_map<std::string, uint64_t> versions, Hooks hooks)
     : loop_(loop),
       store_(store),
       most_ops_(static_cast<size_t>(settings.state_txn_ops)),
       max_ops_(most_ops_),
       retry_s_(settings.heartbeat_interval_s / 10),
-      mutex_(mutex),
       cluster_(cluster),
       fence_(std::move(fence)),
       versions_(std::move(versions)),
@@ -44,9 +43,12 @@
 }
 
 bool Committer::BuildBatch() {
-  const std::lock_guard lock(*mutex_);
-  if (!cluster_->HasQueuedRecords()) return false;
-  const core::Importance importance = cluster_->QueuedImportance();
+  return cluster_->WithLock([this](core::Cluster& cluster) { return BuildBatchFrom(&cluster); });
+}
+
+bool Committer::BuildBatchFrom(core::Cluster* cluster) {
+  if (!cluster->HasQueuedRecords()) return false;
+  const core::Importance importance = cluster->QueuedImportance();
   // A full transaction's worth of write tokens at once keeps the transactions few and full.
   const double wait = store_->write_tokens().Wait(net::SteadyNow(), 1, importance);
   if (wait > 0) {
@@ -59,24 +61,24 @@
   size_t room = wire::kMaxBody / 2;
   const double now = net::SteadyNow();
   std::erase_if(rejected_until_, [&](const auto& entry) { return entry.second <= now; });
-  for (const std::string& key : cluster_->DequeueRecords(max_ops_ + rejected_until_.size())) {
+  for (const std::string& key : cluster->DequeueRecords(max_ops_ + rejected_until_.size())) {
     if (rejected_until_.contains(key) || batch->writes.size() == max_ops_) {
-      cluster_->Requeue(key);
+      cluster->Requeue(key);
       continue;
     }
-    std::optional<wire::Json> value = cluster_->Serialize(key);
+    std::optional<wire::Json> value = cluster->Serialize(key);
     const size_t size = value ? value->dump().size() : 0;
     if (size > room && !batch->writes.empty()) {
-      cluster_->Requeue(key);
+      cluster->Requeue(key);
       continue;
     }
     room -= std::min(room, size);
     if (!value && VersionOf(key) == 0) {
-      cluster_->OnStored(key, net::SteadyNow());  // nothing there to delete
+      cluster->OnStored(key, net::SteadyNow());  // nothing there to delete
       continue;
     }
-    if (!store_->write_tokens().Take(net::SteadyNow(), 1, cluster_->ImportanceOf(key))) {
-      cluster_->Requeue(key);
+    if (!store_->write_tokens().Take(net::SteadyNow(), 1, cluster->ImportanceOf(key))) {
+      cluster->Requeue(key);
       continue;
     }
     if (!value && possibly_resurrected_.contains(key)) value = core::EmptiedRecord();
@@ -164,11 +166,10 @@
       versions_[key] = version;
     }
   }
-  {
-    const std::lock_guard lock(*mutex_);
+  cluster_->WithLock([this](core::Cluster& cluster) {
     const double now = net::SteadyNow();
-    for (const wire::StoreWrite& write : batch_->writes) cluster_->OnStored(write.key, now);
-  }
+    for (const wire::StoreWrite& write : batch_->writes) cluster.OnStored(write.key, now);
+  });
   batch_.reset();
   const auto alive = alive_;
   hooks_.on_stored();
@@ -176,8 +177,9 @@
 }
 
 void Committer::RequeueBatch() {
-  const std::lock_guard lock(*mutex_);
-  for (const wire::StoreWrite& write : batch_->writes) cluster_->Requeue(write.key);
+  cluster_->WithLock([this](core::Cluster& cluster) {
+    for (const wire::StoreWrite& write : batch_->writes) cluster.Requeue(write.key);
+  });
   batch_.reset();
 }
 
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -11,13 +11,12 @@
 
 #include <functional>
 #include <memory>
-#include <mutex>
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
 #include <vector>
 
-#include "core/cluster.h"
+#include "core/locked_cluster.h"
 #include "state/store_client.h"
 
 namespace zinclead::state {
@@ -28,9 +27,9 @@
     std::function<void()> on_stored;  // some records became durable
     std::function<void()> on_fenced;  // another leader holds the key; may destroy the committer
   };
-  // `mutex` guards `cluster`. Both must outlive the committer.
+  // `loop`, `store` and `cluster` must outlive the committer.
   Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
-            std::mutex* mutex, core::Cluster* cluster, wire::VersionPrecondition fence,
+            core::LockedCluster* cluster, wire::VersionPrecondition fence,
             std::unordered_map<std::string, uint64_t> versions, Hooks hooks);
   ~Committer();
 
@@ -44,6 +43,7 @@
     bool outcome_unknown = false;  // some copy of it may have been executed, or may still be
   };
   bool BuildBatch();
+  bool BuildBatchFrom(core::Cluster* cluster);
   void Send();
   void OnMalformed();
   void OnAnswer(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed);
@@ -58,8 +58,7 @@
   const size_t most_ops_;
   size_t max_ops_;  // fewer while the service calls what was sent malformed
   const double retry_s_;
-  std::mutex* mutex_;
-  core::Cluster* cluster_;
+  core::LockedCluster* cluster_;
   const wire::VersionPrecondition fence_;
   std::unordered_map<std::string, uint64_t> versions_;
   Hooks hooks_;
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -22,16 +22,17 @@
     store_ = std::make_unique<StoreClient>(&loop_, settings_);
     standin_.Execute(
         {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "us"}}}}});
-    cluster_ = std::make_unique<core::Cluster>(settings_, config::OperatorSettings(), 1,
-                                               net::SteadyNow(), net::WallNow(), 1);
+    auto cluster = std::make_unique<core::Cluster>(settings_, config::OperatorSettings(), 1,
+                                                   net::SteadyNow(), net::WallNow(), 1);
+    cluster_ = cluster.get();
+    locked_cluster_ = std::make_unique<core::LockedCluster>(std::move(cluster));
     cluster_->OnMachineTypes({testing::MakeType("c4", 4, 1)});
     cluster_->FinishLoading(net::SteadyNow());
     const uint64_t fence = standin_.entries()[election::kLeaderKey].version;
-    committer_ =
-        std::make_unique<Committer>(&loop_, store_.get(), settings_, &mutex_, cluster_.get(),
-                                    wire::VersionPrecondition{election::kLeaderKey, fence},
-                                    std::unordered_map<std::string, uint64_t>(),
-                                    Committer::Hooks{[] {}, [this] { fenced_ = true; }});
+    committer_ = std::make_unique<Committer>(&loop_, store_.get(), settings_, locked_cluster_.get(),
+                                             wire::VersionPrecondition{election::kLeaderKey, fence},
+                                             std::unordered_map<std::string, uint64_t>(),
+                                             Committer::Hooks{[] {}, [this] { fenced_ = true; }});
   }
   bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
   void Submit(const std::string& id) {
@@ -46,8 +47,8 @@
   FakeStore standin_;
   config::Settings settings_;
   std::unique_ptr<StoreClient> store_;
-  std::mutex mutex_;
-  std::unique_ptr<core::Cluster> cluster_;
+  std::unique_ptr<core::LockedCluster> locked_cluster_;
+  core::Cluster* cluster_ = nullptr;  // in locked_cluster_; the test has one thread
   std::unique_ptr<Committer> committer_;
   bool fenced_ = false;
 };
