--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -7,99 +7,107 @@
 
 namespace zinclead::cloud {
 namespace {
+
 // Of the sockets that the node may have.
 constexpr double kSocketShare = 0.003;
-constexpr size_t kQueue = 64;
-constexpr size_t kMaxResponse = size_t{1024} * 1024;
+constexpr size_t kMinConnections = 2;
+// The rest is left for what a previous leader still has in flight.
+constexpr double kRequestRateShare = 0.9;
+constexpr double kMinTimeoutS = 2.0;
+
+rpc::RateLimitedClient::Options ClientOptions(const config::Settings& settings) {
+  rpc::RateLimitedClient::Options options;
+  options.service = "cloud";
+  options.address = settings.cloud;
+  options.max_connections = settings.PoolSize(kSocketShare, kMinConnections);
+  options.requests_per_s = kRequestRateShare * settings.cloud_rps;
+  return options;
+}
+
 }  // namespace
 
 CloudClient::CloudClient(net::EventLoop* loop, const config::Settings& settings)
-    : loop_(loop),
-      calls_(loop, settings.cloud.host, settings.cloud.port, settings.PoolSize(kSocketShare, 2),
-             kQueue, kMaxResponse),
-      // A tenth is left for what a previous leader still has under way.
-      tokens_(0.9 * settings.cloud_rps, 0.9 * settings.cloud_rps),
-      timeout_s_(std::max(2.0, settings.heartbeat_interval_s)) {}
-
-void CloudClient::Malformed(const char* what) {
-  ++malformed_;
-  spdlog::error("cloud: malformed answer to {} ({} so far)", what, malformed_);
-}
+    : client_(loop, ClientOptions(settings)),
+      timeout_s_(std::max(kMinTimeoutS, settings.heartbeat_interval_s)) {}
 
+// A request that the rate limit held back is like one without an answer to the callers.
 void CloudClient::Call(const char* method, std::string path, std::string body,
-                       core::Importance importance, net::HttpClient::Callback done) {
-  if (!tokens_.Take(net::SteadyNow(), 1, importance)) {
-    loop_->Post([done = std::move(done)] { done({}); });
-    return;
-  }
-  calls_.Call(method, std::move(path), std::move(body), timeout_s_,
-              [this, done = std::move(done)](net::Response response) {
-                if (response.status == 429) tokens_.Drain(net::SteadyNow());
-                done(std::move(response));
-              });
+                       core::Importance importance,
+                       std::function<void(const net::Response&)> done) {
+  client_.Call({method, std::move(path), std::move(body), timeout_s_, importance},
+               [done = std::move(done)](const std::optional<net::Response>& response) {
+                 done(response.value_or(net::Response{}));
+               });
 }
 
-void CloudClient::MachineTypes(
-    std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
+void CloudClient::ListMachineTypes(MachineTypesDone done) {
   Call("GET", std::string(wire::kMachineTypesPath), "", core::Importance::kUser,
        [this, done = std::move(done)](const net::Response& response) {
          if (response.status != 200) return done(std::nullopt);
          auto types = wire::ParseMachineTypes(response.body);
-         if (!types) Malformed("machine types");
+         if (!types) client_.ReportMalformedResponse("list of machine types");
          done(std::move(types));
        });
 }
 
-void CloudClient::ScaleOut(const wire::ScaleOutRequest& request,
-                           std::function<void(ScaleOutResult, std::vector<std::string>)> done) {
+void CloudClient::ScaleOut(const wire::ScaleOutRequest& request, ScaleOutDone done) {
   Call("POST", std::string(wire::kMachinesPath), wire::ScaleOutBody(request),
        core::Importance::kUser, [this, done = std::move(done)](const net::Response& response) {
-         if (response.status == 200) {
-           auto machines = wire::ParseScaleOutResponse(response.body);
-           if (!machines) {
-             Malformed("a rent request");
-             return done(ScaleOutResult::kUnknown, {});
-           }
-           return done(ScaleOutResult::kProvisioned, std::move(*machines));
-         }
-         const bool none = response.status == 503 && wire::IsNoCapacity(response.body);
-         if (response.status == 400) {
-           spdlog::error("cloud: rent request called malformed: {}", response.body);
-           return done(ScaleOutResult::kNoCapacity, {});
-         }
-         done(none ? ScaleOutResult::kNoCapacity : ScaleOutResult::kUnknown, {});
+         OnScaleOutAnswered(response, done);
        });
 }
 
-void CloudClient::Delete(const std::vector<std::string>& machines,
-                         std::function<void(bool gone)> done) {
+void CloudClient::OnScaleOutAnswered(const net::Response& response, const ScaleOutDone& done) {
+  switch (response.status) {
+    case 200: {
+      auto machines = wire::ParseScaleOutResponse(response.body);
+      if (machines) return done(ScaleOutResult::kProvisioned, std::move(*machines));
+      client_.ReportMalformedResponse("scale-out");
+      return done(ScaleOutResult::kUnknown, {});
+    }
+    case 400:
+      spdlog::error("cloud: scale-out request refused as malformed: {}", response.body);
+      return done(ScaleOutResult::kNoCapacity, {});
+    case 503:
+      return done(wire::IsNoCapacity(response.body) ? ScaleOutResult::kNoCapacity
+                                                    : ScaleOutResult::kUnknown,
+                  {});
+    default:
+      return done(ScaleOutResult::kUnknown, {});
+  }
+}
+
+void CloudClient::Terminate(const std::vector<std::string>& machines, TerminateDone done) {
   Call("POST", std::string(wire::kMachinesDeletePath), wire::DeleteBody(machines),
        core::Importance::kNormal,
        [done = std::move(done)](const net::Response& response) { done(response.status == 200); });
 }
 
-void CloudClient::List(std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done) {
-  ListPage("", {}, std::move(done));
-}
+void CloudClient::ListMachines(MachineListDone done) { ListPage("", {}, std::move(done)); }
 
-void CloudClient::ListPage(
-    const std::string& after, std::vector<wire::ListedMachine> so_far,
-    std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done) {
+void CloudClient::ListPage(const std::string& after, std::vector<wire::ListedMachine> listed,
+                           MachineListDone done) {
   Call("GET", wire::MachineListPath(after, wire::kMaxMachinesPerPage), "",
        core::Importance::kBackground,
-       [this, so_far = std::move(so_far),
+       [this, listed = std::move(listed),
         done = std::move(done)](const net::Response& response) mutable {
-         if (response.status != 200) return done(std::nullopt);
-         auto page = wire::ParseMachinePage(response.body);
-         if (!page || (page->more && page->machines.empty())) {
-           Malformed("the machine list");
-           return done(std::nullopt);
-         }
-         so_far.insert(so_far.end(), page->machines.begin(), page->machines.end());
-         if (!page->more) return done(std::move(so_far));
-         const std::string last = so_far.back().id;
-         ListPage(last, std::move(so_far), std::move(done));
+         OnPage(response, std::move(listed), std::move(done));
        });
 }
 
+void CloudClient::OnPage(const net::Response& response, std::vector<wire::ListedMachine> listed,
+                         MachineListDone done) {
+  if (response.status != 200) return done(std::nullopt);
+  const auto page = wire::ParseMachinePage(response.body);
+  // An empty page that is not the last names no key to go on from.
+  if (!page || (page->more && page->machines.empty())) {
+    client_.ReportMalformedResponse("list of machines");
+    return done(std::nullopt);
+  }
+  listed.insert(listed.end(), page->machines.begin(), page->machines.end());
+  if (!page->more) return done(std::move(listed));
+  const std::string last = listed.back().id;
+  ListPage(last, std::move(listed), std::move(done));
+}
+
 }  // namespace zinclead::cloud
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,4 +1,5 @@
-// Client of the cloud. The nodes share its request rate; only the leader calls it.
+// HTTP client of the cloud: scales out and in, and lists what there is. The nodes share the cloud's
+// rate limit, and only the leader calls it. Retries are the callers' business.
 #ifndef ZINCLEAD_CLOUD_CLOUD_CLIENT_H_
 #define ZINCLEAD_CLOUD_CLOUD_CLIENT_H_
 
@@ -9,37 +10,55 @@
 
 #include "config/settings.h"
 #include "core/token_bucket.h"
-#include "net/http_client.h"
+#include "net/event_loop.h"
+#include "net/http_message.h"
+#include "rpc/rate_limited_client.h"
 #include "wire/wire.h"
 
 namespace zinclead::cloud {
 
-enum class ScaleOutResult { kProvisioned, kNoCapacity, kUnknown };
+enum class ScaleOutResult {
+  kProvisioned,  // the machines were provisioned, now or by an earlier copy of the request
+  kNoCapacity,   // refused: nothing was provisioned
+  kUnknown,      // no usable answer: machines may have been provisioned, or may still be
+};
 
+// Belongs to the loop's thread. Callbacks are never called from inside the call they belong to.
 class CloudClient {
  public:
+  // `loop` must outlive the client.
   CloudClient(net::EventLoop* loop, const config::Settings& settings);
 
-  void MachineTypes(std::function<void(std::optional<std::vector<wire::MachineType>>)> done);
-  void ScaleOut(const wire::ScaleOutRequest& request,
-                std::function<void(ScaleOutResult, std::vector<std::string>)> done);
-  // `gone`: the deletion was answered, so the machines and all that was on them are gone.
-  void Delete(const std::vector<std::string>& machines, std::function<void(bool gone)> done);
-  // The whole list, page by page.
-  void List(std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done);
+  // nullopt: no usable answer.
+  using MachineTypesDone = std::function<void(std::optional<std::vector<wire::MachineType>>)>;
+  void ListMachineTypes(MachineTypesDone done);
+
+  // Requests machines. A request may be repeated: the cloud executes each name once. With
+  // kProvisioned `machines` are their names.
+  using ScaleOutDone = std::function<void(ScaleOutResult, std::vector<std::string> machines)>;
+  void ScaleOut(const wire::ScaleOutRequest& request, ScaleOutDone done);
+
+  // Terminates up to wire::kMaxDeleteNames machines. `terminated`: the cloud has confirmed it, so
+  // nothing runs on them any more; otherwise they may or may not have been terminated.
+  using TerminateDone = std::function<void(bool terminated)>;
+  void Terminate(const std::vector<std::string>& machines, TerminateDone done);
+
+  // Lists all machines, page by page. nullopt: some page got no usable answer.
+  using MachineListDone = std::function<void(std::optional<std::vector<wire::ListedMachine>>)>;
+  void ListMachines(MachineListDone done);
 
  private:
   void Call(const char* method, std::string path, std::string body, core::Importance importance,
-            net::HttpClient::Callback done);
-  void ListPage(const std::string& after, std::vector<wire::ListedMachine> so_far,
-                std::function<void(std::optional<std::vector<wire::ListedMachine>>)> done);
-  void Malformed(const char* what);
-
-  net::EventLoop* loop_;
-  net::HttpClient calls_;
-  core::TokenBucket tokens_;
-  double timeout_s_;
-  uint64_t malformed_ = 0;
+            std::function<void(const net::Response&)> done);
+  void OnScaleOutAnswered(const net::Response& response, const ScaleOutDone& done);
+  // `listed`: the machines of the pages up to `after`.
+  void ListPage(const std::string& after, std::vector<wire::ListedMachine> listed,
+                MachineListDone done);
+  void OnPage(const net::Response& response, std::vector<wire::ListedMachine> listed,
+              MachineListDone done);
+
+  rpc::RateLimitedClient client_;
+  const double timeout_s_;
 };
 
 }  // namespace zinclead::cloud
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -123,7 +123,7 @@
 
 void Elector::Elect(uint64_t term, uint64_t term_version, uint64_t lease, double requested_at) {
   const wire::Json record{{"node", node_}, {"term", term}, {"lease", lease}};
-  store_->Commit(
+  store_->CompareAndSwap(
       {{kLeaderKey, 0}, {kTermKey, term_version}},
       {{kLeaderKey, record, lease}, {kTermKey, wire::Json(term), std::nullopt}},
       core::Importance::kLeadership,
--- a/src/election/elector.h
+++ b/src/election/elector.h
@@ -35,7 +35,7 @@
   explicit LoopTimers(net::EventLoop* loop) : loop_(loop) {}
   double Now() override { return net::SteadyNow(); }
   void After(Slot slot, double delay_s, std::function<void()> task) override {
-    loop_->StartTimer(&timers_[slot], delay_s, std::move(task), net::Urgency::kUrgent);
+    loop_->StartTimer(&timers_[slot], delay_s, std::move(task), net::EventPriority::kHigh);
   }
   void Cancel(Slot slot) override { timers_[slot].Cancel(); }
 
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -34,7 +34,7 @@
   event_config* config = event_config_new();
   if (config != nullptr) {
     event_config_set_max_dispatch_interval(config, nullptr, kCallbacksAtOnce,
-                                           static_cast<int>(Urgency::kNormal));
+                                           static_cast<int>(EventPriority::kNormal));
     // What a descriptor waits for often changes back before the loop looks at it again.
     event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
     base_ = event_base_new_with_config(config);
@@ -74,7 +74,7 @@
   event_base_loopbreak(base_);
 }
 
-void EventLoop::OnServed() {
+void EventLoop::CountServedRequest() {
   ++served_;
   // The rest of what is ready stays ready for the next slice.
   if (slice_limit_ > 0 && served_ >= slice_limit_) event_base_loopbreak(base_);
@@ -99,7 +99,7 @@
 }
 
 void EventLoop::StartTimer(Timer* timer, double delay_s, std::function<void()> task,
-                           Urgency urgency) {
+                           EventPriority priority) {
   timer->Cancel();
   timer->task_ = std::move(task);
   timer->event_ = evtimer_new(
@@ -112,7 +112,7 @@
         run();
       },
       timer);
-  event_priority_set(timer->event_, static_cast<int>(urgency));
+  event_priority_set(timer->event_, static_cast<int>(priority));
   const timeval tv = ToTimeval(delay_s);
   evtimer_add(timer->event_, &tv);
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -20,7 +20,7 @@
 
 // What is urgent goes before everything else that is ready: of a long row of other work only a few
 // pieces are done before the loop looks again.
-enum class Urgency { kUrgent = 0, kNormal = 1 };
+enum class EventPriority { kHigh = 0, kNormal = 1 };
 
 class EventLoop {
  public:
@@ -34,9 +34,9 @@
   void Stop();
 
   // How many ordinary requests are served in a row before the loop pauses; 0: without end.
-  void LimitSlice(size_t requests) { slice_limit_ = requests; }
+  void PauseAfterRequests(size_t requests) { slice_limit_ = requests; }
   // An ordinary request was served. Called by servers.
-  void OnServed();
+  void CountServedRequest();
 
   // Thread-safe: runs `task` on the loop's thread soon.
   void Post(std::function<void()> task);
@@ -57,7 +57,7 @@
     std::function<void()> task_;
   };
   void StartTimer(Timer* timer, double delay_s, std::function<void()> task,
-                  Urgency urgency = Urgency::kNormal);
+                  EventPriority priority = EventPriority::kNormal);
 
   event_base* base() { return base_; }
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -22,13 +22,13 @@
 };
 
 HttpClient::HttpClient(EventLoop* loop, std::string host, uint16_t port, size_t max_connections,
-                       size_t max_queue, size_t max_response, Urgency urgency)
+                       size_t max_queue, size_t max_response, EventPriority priority)
     : loop_(loop),
       host_(std::move(host)),
       port_(port),
       max_queue_(max_queue),
       max_response_(max_response),
-      urgency_(urgency) {
+      priority_(priority) {
   for (size_t i = 0; i < max_connections; ++i) {
     slots_.push_back(std::make_unique<Slot>());
     slots_.back()->client = this;
@@ -90,7 +90,7 @@
     }
     Finish(slot, Response{});
   };
-  loop_->StartTimer(&slot->timer, left, expire, urgency_);
+  loop_->StartTimer(&slot->timer, left, expire, priority_);
   if (evhttp_make_request(slot->connection, slot->request, type, call.path.c_str()) != 0) {
     // evhttp has freed the request. The caller must not hear of it before Call returns.
     slot->request = nullptr;
@@ -99,7 +99,7 @@
   }
   // Connecting anew has set it back.
   bufferevent_priority_set(evhttp_connection_get_bufferevent(slot->connection),
-                           static_cast<int>(urgency_));
+                           static_cast<int>(priority_));
 }
 
 void HttpClient::OnResponse(evhttp_request* request, void* arg) {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "net/event_loop.h"
-#include "net/http_server.h"
+#include "net/http_message.h"
 
 namespace zinclead::net {
 
@@ -20,7 +20,8 @@
  public:
   using Callback = std::function<void(Response)>;
   HttpClient(EventLoop* loop, std::string host, uint16_t port, size_t max_connections,
-             size_t max_queue, size_t max_response, Urgency urgency = Urgency::kNormal);
+             size_t max_queue, size_t max_response,
+             EventPriority priority = EventPriority::kNormal);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
@@ -50,7 +51,7 @@
   uint16_t port_;
   size_t max_queue_;
   size_t max_response_;
-  Urgency urgency_;
+  EventPriority priority_;
   std::vector<std::unique_ptr<Slot>> slots_;
   std::deque<Pending> queue_;
   EventLoop::Timer queue_timer_;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -90,8 +90,8 @@
                        const Limits& limits, Handler handler)
     : loop_(loop),
       http_(evhttp_new(loop->base())),
-      max_kept_(limits.max_kept),
-      urgency_(limits.urgency),
+      max_kept_(limits.max_persistent_connections),
+      priority_(limits.priority),
       handler_(std::move(handler)) {
   if (http_ == nullptr) throw std::runtime_error("cannot create an HTTP server");
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(4 * limits.max_body));
@@ -128,7 +128,7 @@
   if (kept_.size() >= max_kept_) return false;
   kept_.insert(connection);
   bufferevent_priority_set(evhttp_connection_get_bufferevent(connection),
-                           static_cast<int>(urgency_));
+                           static_cast<int>(priority_));
   evhttp_connection_set_closecb(
       connection,
       [](evhttp_connection* closed, void* self) {
@@ -150,7 +150,7 @@
   evbuffer* input = evhttp_request_get_input_buffer(request);
   parsed.body.resize(evbuffer_get_length(input));
   evbuffer_remove(input, parsed.body.data(), parsed.body.size());
-  if (server->urgency_ == Urgency::kNormal) server->loop_->OnServed();
+  if (server->priority_ == EventPriority::kNormal) server->loop_->CountServedRequest();
   const bool keep = server->Keep(evhttp_request_get_connection(request));
   auto responder = std::make_shared<Responder>(request, !keep);
   try {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -10,22 +10,10 @@
 #include <unordered_set>
 
 #include "net/event_loop.h"
+#include "net/http_message.h"
 
 namespace zinclead::net {
 
-struct ServerRequest {
-  std::string method;
-  std::string path;  // without the query
-  std::string query;
-  std::string body;
-};
-
-struct Response {
-  int status = 0;  // 0: no answer came
-  int retry_after_s = 0;
-  std::string body;
-};
-
 // Answers one request, once; later calls have no effect. If it is dropped without an answer, the
 // client gets 500 rather than silence.
 class Responder {
@@ -53,11 +41,11 @@
     // in its own words.
     size_t max_body = 0;
     // Connections that are kept open between requests. Each further one ends with its answer.
-    size_t max_kept = 0;
+    size_t max_persistent_connections = 0;
     // Connections that may wait to be accepted.
     int backlog = 128;
     double idle_s = 0;
-    Urgency urgency = Urgency::kNormal;
+    EventPriority priority = EventPriority::kNormal;
   };
   HttpServer(EventLoop* loop, const std::string& host, uint16_t port, const Limits& limits,
              Handler handler);
@@ -65,7 +53,7 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   uint16_t port() const { return port_; }
-  size_t kept() const { return kept_.size(); }
+  size_t persistent_connections() const { return kept_.size(); }
 
  private:
   static void OnRequest(evhttp_request* request, void* self);
@@ -73,7 +61,7 @@
   EventLoop* loop_;
   evhttp* http_;
   const size_t max_kept_;
-  const Urgency urgency_;
+  const EventPriority priority_;
   std::unordered_set<evhttp_connection*> kept_;
   uint16_t port_ = 0;
   Handler handler_;
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -165,7 +165,7 @@
       known = cluster_->HasMachineTypes();
     }
     types_at_ = now + (known ? operator_settings_.idle_s : settings_.heartbeat_interval_s / 3);
-    cloud_->MachineTypes(
+    cloud_->ListMachineTypes(
         [this, alive = alive_](std::optional<std::vector<wire::MachineType>> types) {
           if (!*alive || !types) return;
           {
@@ -177,14 +177,15 @@
   }
   if (now >= list_at_) {
     list_at_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
-    cloud_->List([this, alive = alive_](std::optional<std::vector<wire::ListedMachine>> machines) {
-      if (!*alive || !machines) return;
-      {
-        const std::lock_guard lock(scheduler_->mutex);
-        cluster_->OnMachineList(*machines, net::SteadyNow());
-      }
-      AfterChange();
-    });
+    cloud_->ListMachines(
+        [this, alive = alive_](std::optional<std::vector<wire::ListedMachine>> machines) {
+          if (!*alive || !machines) return;
+          {
+            const std::lock_guard lock(scheduler_->mutex);
+            cluster_->OnMachineList(*machines, net::SteadyNow());
+          }
+          AfterChange();
+        });
   }
 }
 
@@ -231,7 +232,7 @@
             static_cast<std::ptrdiff_t>(
                 std::min(i + wire::kMaxDeleteNames, cloud_actions.scale_in.size())));
     spdlog::info("returning {} machines, {} the first", names.size(), names.front());
-    cloud_->Delete(names, [this, alive = alive_, names](bool gone) {
+    cloud_->Terminate(names, [this, alive = alive_, names](bool gone) {
       if (!*alive) return;
       {
         const std::lock_guard lock(scheduler_->mutex);
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -55,15 +55,15 @@
       admission_limits_(admission::DeriveLimits(settings_, operator_settings_)),
       credit_gate_(admission_limits_, kGrantPings * elector_.lease_s() / kPingsPerLease,
                    std::random_device()()) {
-  loop_.LimitSlice(
+  loop_.PauseAfterRequests(
       std::max(kLeastSliceRequests, static_cast<size_t>(kSliceRequests * settings_.core_share)));
   const size_t connections =
       settings_.PoolSize(kPeerSocketShare / static_cast<double>(settings_.NodeCount()), 2);
   for (const config::Peer& peer : settings_.peers) {
     peer_failure_detector_.Add(peer.node);
-    peers_[peer.node].client =
-        std::make_unique<net::HttpClient>(&loop_, peer.address.host, peer.address.port, connections,
-                                          kPeerQueue, 8 * wire::kMaxBody, net::Urgency::kUrgent);
+    peers_[peer.node].client = std::make_unique<net::HttpClient>(
+        &loop_, peer.address.host, peer.address.port, connections, kPeerQueue, 8 * wire::kMaxBody,
+        net::EventPriority::kHigh);
   }
   net::HttpServer::Limits limits;
   // Kept-open connections of workers and users fall silent for a report or a poll; after a worker's
@@ -71,16 +71,17 @@
   limits.idle_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
   limits.max_body = wire::kMaxBody;
-  limits.max_kept = settings_.PoolSize(kPublicSocketShare, 8);
+  limits.max_persistent_connections = settings_.PoolSize(kPublicSocketShare, 8);
   public_server_ = std::make_unique<net::HttpServer>(
       &loop_, settings_.listen.host, settings_.listen.port, limits,
       [this](const net::ServerRequest& request, const net::ResponderPtr& responder) {
         OnPublic(request, responder);
       });
   limits.max_body = 4 * wire::kMaxBody;
-  limits.max_kept = static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
+  limits.max_persistent_connections =
+      static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
   // A node that answers its peers late is taken for lost.
-  limits.urgency = net::Urgency::kUrgent;
+  limits.priority = net::EventPriority::kHigh;
   peer_server_ = std::make_unique<net::HttpServer>(
       &loop_, settings_.peer_listen.host, settings_.peer_listen.port, limits,
       [this](const net::ServerRequest& request, const net::ResponderPtr& responder) {
@@ -155,7 +156,7 @@
 void Node::PingPeers() {
   loop_.StartTimer(
       &peer_timer_, elector_.lease_s() / kPingsPerLease, [this] { PingPeers(); },
-      net::Urgency::kUrgent);
+      net::EventPriority::kHigh);
   const std::string body =
       MakeAnnouncement(leader_ == nullptr ? std::nullopt : leader_->MakeCreditGrant());
   for (auto& [name, peer] : peers_) {
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -1,79 +1,80 @@
-// Writes the core's dirty records: one transaction at a time, each conditional on the leader key
-// (the fence) and on the version of every key it touches.
+// Writes the cluster's changed records to the store, write-behind: one batch at a time, each a
+// compare-and-swap on the leader key (the fencing version) and on the version of every key it
+// writes.
 //
-// The fence makes late transactions of an old leader fail. The keys' versions make late copies of
-// this leader's own transactions fail: without them a repeated old write could undo a newer one.
-// "The key does not exist" is the one condition that a deletion makes true again, so a key that was
-// created by a transaction of which a copy may still be under way is not deleted in the same term:
-// it is emptied (core::EmptiedRecord), and the next leader, whose fence stops the copy, deletes it.
+// The fencing version makes late requests of an earlier leader fail. The keys' versions make late
+// copies of this leader's own requests fail: without them a repeated old write could undo a newer
+// one. "The key does not exist" is the one precondition that a deletion makes true again, so a key
+// that was created by a batch of which a copy may still be in flight is not deleted in the same
+// term: it is emptied (core::EmptiedRecord), and the next leader, whose fencing version stops the
+// copy, deletes it.
 #ifndef ZINCLEAD_STATE_COMMITTER_H_
 #define ZINCLEAD_STATE_COMMITTER_H_
 
+#include <cstdint>
 #include <functional>
-#include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
+#include "config/settings.h"
 #include "core/locked_cluster.h"
+#include "net/callback_guard.h"
+#include "net/event_loop.h"
+#include "state/batch_builder.h"
+#include "state/key_versions.h"
+#include "state/read_back.h"
 #include "state/store_client.h"
 
 namespace zinclead::state {
 
+// Belongs to the loop's thread.
 class Committer {
  public:
   struct Hooks {
     std::function<void()> on_stored;  // some records became durable
     std::function<void()> on_fenced;  // another leader holds the key; may destroy the committer
   };
-  // `loop`, `store` and `cluster` must outlive the committer.
+  // `loop`, `store` and `cluster` must outlive the committer. `fence` is the leader key with the
+  // version it got when this leader was elected, `versions` those of all records that exist.
   Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
             core::LockedCluster* cluster, wire::VersionPrecondition fence,
             std::unordered_map<std::string, uint64_t> versions, Hooks hooks);
-  ~Committer();
+  Committer(const Committer&) = delete;
+  Committer& operator=(const Committer&) = delete;
 
-  // Starts a transaction if there is something to write and none is under way.
+  // Sends the next batch if records are queued and no batch is in flight.
   void Flush();
 
  private:
-  struct Batch {
-    core::Importance importance = core::Importance::kNormal;
-    std::vector<wire::StoreWrite> writes;
-    bool outcome_unknown = false;  // some copy of it may have been executed, or may still be
-  };
   bool BuildBatch();
-  bool BuildBatchFrom(core::Cluster* cluster);
-  void Send();
-  void OnMalformed();
-  void OnAnswer(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed);
-  void Stored(const std::unordered_map<std::string, uint64_t>& versions);
+  void SendBatch();
+  void OnAnswer(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed_keys);
+  void OnExecuted(uint64_t revision);
+  void OnConflict(const std::vector<std::string>& failed_keys);
+  void OnOutcomeUnknown();
+  void OnUnavailable();
+  void OnInvalidRequest();
+  void ReadBackBatch();
+  void OnReadBack(const std::optional<ReadBackResult>& result);
+  // The batch took effect: the keys have these versions now.
+  void FinishBatch(const KeyVersions::Map& versions);
+  // The batch did not take effect and never will.
   void RequeueBatch();
-  void ReadBack();
-  void Later(double delay_s, std::function<void()> task);
-  uint64_t VersionOf(const std::string& key) const;
+  void RetryLater(void (Committer::*step)());
 
-  net::EventLoop* loop_;
-  StoreClient* store_;
-  const size_t most_ops_;
-  size_t max_ops_;  // fewer while the service calls what was sent malformed
+  net::EventLoop* const loop_;
+  StoreClient* const store_;
+  core::LockedCluster* const cluster_;
   const double retry_s_;
-  core::LockedCluster* cluster_;
   const wire::VersionPrecondition fence_;
-  std::unordered_map<std::string, uint64_t> versions_;
-  Hooks hooks_;
-  std::unique_ptr<Batch> batch_;  // the transaction under way
-  // Records that the service called malformed by themselves, and until when they are left alone:
-  // they must not keep the others waiting.
-  std::unordered_map<std::string, double> rejected_until_;
-  // Created by transactions that were in doubt.
-  std::unordered_set<std::string> possibly_resurrected_;
-  // Read-back of a batch in doubt.
-  size_t reading_ = 0;
-  bool all_equal_ = false;
-  std::unordered_map<std::string, uint64_t> read_versions_;
+  const Hooks hooks_;
+  KeyVersions versions_;
+  BatchBuilder builder_;
+  std::optional<Batch> in_flight_;
   net::EventLoop::Timer timer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  net::CallbackGuard guard_;
 };
 
 }  // namespace zinclead::state
--- a/tests/elector_test.cc
+++ b/tests/elector_test.cc
@@ -103,15 +103,15 @@
           },
           [answer, done](state::Outcome outcome) { done(outcome, answer->item, 0); });
     }
-    void Commit(const std::vector<wire::VersionPrecondition>& conditions,
-                const std::vector<wire::StoreWrite>& writes, core::Importance,
-                CommitDone done) override {
+    void CompareAndSwap(const std::vector<wire::VersionPrecondition>& conditions,
+                        const std::vector<wire::StoreWrite>& writes, core::Importance,
+                        CompareAndSwapDone done) override {
       auto revision = std::make_shared<uint64_t>(0);
       ++electing;
       Send(
           [this, conditions, writes, revision] {
             if (!*alive_) ++sim_->executed_late;
-            return sim_->Commit(conditions, writes, revision.get());
+            return sim_->CompareAndSwap(conditions, writes, revision.get());
           },
           [this, revision, done](state::Outcome outcome) {
             --electing;
@@ -171,7 +171,7 @@
       }
       sim_->At(delay, [this, execute, reply, lost] {
         if (sim_->now_ < sim_->outage_until_ || sim_->now_ < sim_->rejected_until_[node_]) {
-          return reply(state::Outcome::kRejected);
+          return reply(state::Outcome::kUnavailable);
         }
         const state::Outcome outcome = execute();
         if (!lost) sim_->At(sim_->Uniform(0.002, 0.02), [reply, outcome] { reply(outcome); });
@@ -259,10 +259,10 @@
     }
   }
 
-  state::Outcome Commit(const std::vector<wire::VersionPrecondition>& conditions,
-                        const std::vector<wire::StoreWrite>& writes, uint64_t* revision) {
+  state::Outcome CompareAndSwap(const std::vector<wire::VersionPrecondition>& conditions,
+                                const std::vector<wire::StoreWrite>& writes, uint64_t* revision) {
     for (const auto& write : writes) {
-      if (write.lease && !leases_.contains(*write.lease)) return state::Outcome::kNoLease;
+      if (write.lease && !leases_.contains(*write.lease)) return state::Outcome::kLeaseNotFound;
     }
     for (const auto& c : conditions) {
       const auto it = keys_.find(c.key);
--- a/tests/lease_renewal_test.cc
+++ b/tests/lease_renewal_test.cc
@@ -43,8 +43,9 @@
   void Get(const std::string&, core::Importance, GetDone done) override {
     done(state::Outcome::kNotFound, std::nullopt, 1);
   }
-  void Commit(const std::vector<wire::VersionPrecondition>&, const std::vector<wire::StoreWrite>&,
-              core::Importance, CommitDone done) override {
+  void CompareAndSwap(const std::vector<wire::VersionPrecondition>&,
+                      const std::vector<wire::StoreWrite>&, core::Importance,
+                      CompareAndSwapDone done) override {
     done(state::Outcome::kOk, 2, {});
   }
   void Grant(double, LeaseDone done) override { done(state::Outcome::kOk, kLease); }
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -39,17 +39,17 @@
                    [&](const net::Response& r) { answered += r.status == 200; });
     }
     EXPECT_TRUE(RunUntil(&loop, [&] { return waiting.size() == clients.size(); }));
-    EXPECT_EQ(server.kept(), std::min(kKept, clients.size()));
+    EXPECT_EQ(server.persistent_connections(), std::min(kKept, clients.size()));
     for (auto& responder : std::exchange(waiting, {})) responder->Send({200, 0, "{}"});
     EXPECT_TRUE(RunUntil(&loop, [&] { return answered == clients.size(); }));
   };
   for (int round = 0; round < 3; ++round) call_all();
   // Room that is freed is used again.
   clients.resize(kKept - 1);
-  EXPECT_TRUE(RunUntil(&loop, [&] { return server.kept() < kKept; }));
+  EXPECT_TRUE(RunUntil(&loop, [&] { return server.persistent_connections() < kKept; }));
   call_all();
   clients.clear();
-  EXPECT_TRUE(RunUntil(&loop, [&] { return server.kept() == 0; }));
+  EXPECT_TRUE(RunUntil(&loop, [&] { return server.persistent_connections() == 0; }));
 }
 
 // All workers come at once to a new leader: its own calls to the state service must not wait until
@@ -58,12 +58,12 @@
   constexpr int kRow = 400;
   net::EventLoop loop;
   net::HttpServer::Limits limits{1024, 8, 128, 60};
-  limits.urgency = net::Urgency::kUrgent;
+  limits.priority = net::EventPriority::kHigh;
   net::HttpServer server(&loop, "127.0.0.1", 0, limits,
                          [](const net::ServerRequest&, const net::ResponderPtr& r) {
                            r->Send({200, 0, "{}"});
                          });
-  net::HttpClient client(&loop, "127.0.0.1", server.port(), 1, 1, 1024, net::Urgency::kUrgent);
+  net::HttpClient client(&loop, "127.0.0.1", server.port(), 1, 1, 1024, net::EventPriority::kHigh);
   int calls = 0;
   const auto count = [&](const net::Response& r) { calls += r.status == 200; };
   for (int i = 1; i <= 2; ++i) {  // priorities hold on the connection when it is used again
@@ -83,7 +83,7 @@
   }
   net::EventLoop::Timer timer;
   loop.StartTimer(
-      &timer, 0.02, [&] { done_at_timer = done; }, net::Urgency::kUrgent);
+      &timer, 0.02, [&] { done_at_timer = done; }, net::EventPriority::kHigh);
   client.Call("GET", "/", "", 30, [&](const net::Response&) { done_at_answer = done; });
   ASSERT_TRUE(RunUntil(&loop, [&] { return done == kRow; }));
   EXPECT_LT(done_at_timer, kRow / 2);
@@ -97,7 +97,7 @@
   constexpr size_t kClients = 20;
   constexpr double kPauseS = 0.001;
   net::EventLoop server_loop;
-  server_loop.LimitSlice(kSlice);
+  server_loop.PauseAfterRequests(kSlice);
   std::vector<double> served_at;
   net::HttpServer server(&server_loop, "127.0.0.1", 0, {1024, kClients, 128, 60},
                          [&](const net::ServerRequest&, const net::ResponderPtr& responder) {
