--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,80 +1,89 @@
 // The I/O loop of the process: one libevent base, run by one thread. Other threads reach it only
-// through Post.
+// through Post and Stop.
 #ifndef ZINCLEAD_NET_EVENT_LOOP_H_
 #define ZINCLEAD_NET_EVENT_LOOP_H_
 
 #include <event2/event.h>
 
 #include <atomic>
+#include <cstddef>
 #include <functional>
-#include <memory>
 #include <mutex>
 #include <vector>
 
+#include "net/libevent_handles.h"
+
 namespace zinclead::net {
 
 // Seconds on the steady clock.
-double SteadyNow();
+[[nodiscard]] double SteadyNow();
 // Seconds since the epoch, within the platform's clock error.
-double WallNow();
+[[nodiscard]] double WallNow();
+
+// Negative durations count as 0.
+[[nodiscard]] timeval ToTimeval(double seconds);
 
-// What is urgent goes before everything else that is ready: of a long row of other work only a few
-// pieces are done before the loop looks again.
+// Events of high priority run before all others that are ready, and the loop looks for new ones
+// after every few callbacks of normal priority.
 enum class EventPriority { kHigh = 0, kNormal = 1 };
 
+// Belongs to the thread that runs it, but for Post and Stop.
 class EventLoop {
  public:
+  // Throws std::runtime_error if libevent cannot create a loop.
   EventLoop();
-  ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Runs until Stop. Everything but Post and Stop belongs to the thread that runs the loop.
+  // Runs until Stop.
   void Run();
+  // Thread-safe.
   void Stop();
 
-  // How many ordinary requests are served in a row before the loop pauses; 0: without end.
-  void PauseAfterRequests(size_t requests) { slice_limit_ = requests; }
-  // An ordinary request was served. Called by servers.
+  // After this many requests of normal priority in one iteration the loop pauses briefly; 0: never.
+  void PauseAfterRequests(size_t requests) { requests_per_iteration_ = requests; }
+  // Called by servers for each request of normal priority.
   void CountServedRequest();
 
-  // Thread-safe: runs `task` on the loop's thread soon.
+  // Thread-safe: runs `task` on the loop's thread soon, in the order of the calls.
   void Post(std::function<void()> task);
 
-  // One-shot timer. A handle that is dropped cancels it.
+  // One-shot timer. Destroying it cancels it.
   class Timer {
    public:
     Timer() = default;
-    ~Timer() { Cancel(); }
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     void Cancel();
-    bool pending() const { return event_ != nullptr; }
+    [[nodiscard]] bool pending() const { return event_ != nullptr; }
 
    private:
     friend class EventLoop;
-    event* event_ = nullptr;
+    static void OnTimeout(evutil_socket_t, short events,
+                          void* timer);  // NOLINT(google-runtime-int)
+    EventPtr event_;
     std::function<void()> task_;
   };
+  // Starts `timer` anew. `task` may restart or destroy it. The loop must outlive the timer.
   void StartTimer(Timer* timer, double delay_s, std::function<void()> task,
                   EventPriority priority = EventPriority::kNormal);
 
-  event_base* base() { return base_; }
+  [[nodiscard]] event_base* base() { return base_.get(); }
 
  private:
-  void Drain();
+  static void OnWake(evutil_socket_t, short events, void* loop);  // NOLINT(google-runtime-int)
+  [[nodiscard]] bool RequestLimitReached() const;
+  void RunPostedTasks();
 
-  event_base* base_ = nullptr;
-  event* wake_;
+  EventBasePtr base_;
+  EventPtr wake_;
   std::atomic<bool> stopped_ = false;
-  size_t slice_limit_ = 0;
-  size_t served_ = 0;  // in this slice
-  std::mutex mutex_;
-  std::vector<std::function<void()>> posted_;  // guarded by mutex_
+  size_t requests_per_iteration_ = 0;
+  size_t served_ = 0;  // in this iteration
+  std::mutex posted_mutex_;
+  std::vector<std::function<void()>> posted_;  // guarded by posted_mutex_
 };
 
-timeval ToTimeval(double seconds);
-
 }  // namespace zinclead::net
 
 #endif  // ZINCLEAD_NET_EVENT_LOOP_H_
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -5,19 +5,45 @@
 #include <event2/keyvalq_struct.h>
 #include <sys/socket.h>
 
+#include <algorithm>
 #include <charconv>
 #include <cstring>
 #include <utility>
 
+#include "net/libevent_handles.h"
+
 namespace zinclead::net {
+namespace {
+
+evhttp_cmd_type MethodOf(const std::string& name) {
+  if (name == "POST") return EVHTTP_REQ_POST;
+  if (name == "DELETE") return EVHTTP_REQ_DELETE;
+  return EVHTTP_REQ_GET;
+}
 
-struct HttpClient::Slot {
+Response ReadResponse(evhttp_request* request) {
+  Response response;
+  response.status = evhttp_request_get_response_code(request);
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  response.body.resize(evbuffer_get_length(input));
+  evbuffer_remove(input, response.body.data(), response.body.size());
+  const char* retry_after =
+      evhttp_find_header(evhttp_request_get_input_headers(request), "Retry-After");
+  if (retry_after != nullptr) {
+    std::from_chars(retry_after, retry_after + std::strlen(retry_after), response.retry_after_s);
+  }
+  return response;
+}
+
+}  // namespace
+
+// One connection of the pool and the call that it carries, if any.
+struct HttpClient::Connection {
   HttpClient* client = nullptr;
-  evhttp_connection* connection = nullptr;
-  evhttp_request* request = nullptr;  // not null: busy
+  HttpConnectionPtr evhttp;
+  evhttp_request* request = nullptr;  // owned by evhttp; null: no response is awaited
   Callback done;
   EventLoop::Timer timer;
-  EventLoop::Timer failure;
   bool busy = false;
 };
 
@@ -30,135 +56,121 @@
       max_response_(max_response),
       priority_(priority) {
   for (size_t i = 0; i < max_connections; ++i) {
-    slots_.push_back(std::make_unique<Slot>());
-    slots_.back()->client = this;
+    connections_.push_back(std::make_unique<Connection>());
+    connections_.back()->client = this;
   }
 }
 
 HttpClient::~HttpClient() {
-  for (auto& slot : slots_) {
-    if (slot->request != nullptr) evhttp_cancel_request(slot->request);
-    if (slot->connection != nullptr) evhttp_connection_free(slot->connection);
+  for (auto& connection : connections_) {
+    if (connection->request != nullptr) evhttp_cancel_request(connection->request);
+    connection->evhttp.reset();
   }
 }
 
 void HttpClient::Call(const std::string& method, std::string path, std::string body,
                       double timeout_s, Callback done) {
-  Pending call{method, std::move(path), std::move(body), SteadyNow() + timeout_s, std::move(done)};
-  for (auto& slot : slots_) {
-    if (!slot->busy) return Start(slot.get(), std::move(call));
+  PendingCall call{method, std::move(path), std::move(body), SteadyNow() + timeout_s,
+                   std::move(done)};
+  for (auto& connection : connections_) {
+    if (!connection->busy) return Start(connection.get(), std::move(call));
   }
   if (queue_.size() >= max_queue_) {
     loop_->Post([done = std::move(call.done)] { done(Response{}); });
     return;
   }
   queue_.push_back(std::move(call));
-  if (!queue_timer_.pending()) ExpireQueue();
+  if (!queue_timer_.pending()) ExpireQueuedCalls();
 }
 
-void HttpClient::Start(Slot* slot, Pending call) {
-  slot->busy = true;
-  slot->done = std::move(call.done);
-  const double left = call.deadline - SteadyNow();
-  if (slot->connection == nullptr) {
-    slot->connection = evhttp_connection_base_bufferevent_new(loop_->base(), nullptr, nullptr,
-                                                              host_.c_str(), port_);
-    // Addresses are IPv4 numbers; without this libevent probes the interfaces over UDP first.
-    evhttp_connection_set_family(slot->connection, AF_INET);
-    evhttp_connection_set_max_body_size(slot->connection, static_cast<ev_ssize_t>(max_response_));
-  }
-  // The timer below bounds the whole call; the connection's own time-out only backs it up.
-  const timeval backup = ToTimeval(2 * (left > 0 ? left : 1));
-  evhttp_connection_set_timeout_tv(slot->connection, &backup);
-  slot->request = evhttp_request_new(&HttpClient::OnResponse, slot);
-  evkeyvalq* headers = evhttp_request_get_output_headers(slot->request);
+void HttpClient::Open(Connection* connection) {
+  connection->evhttp.reset(evhttp_connection_base_bufferevent_new(loop_->base(), nullptr, nullptr,
+                                                                  host_.c_str(), port_));
+  // Addresses are IPv4 numbers; without this libevent probes the interfaces over UDP first.
+  evhttp_connection_set_family(connection->evhttp.get(), AF_INET);
+  evhttp_connection_set_max_body_size(connection->evhttp.get(),
+                                      static_cast<ev_ssize_t>(max_response_));
+}
+
+void HttpClient::Start(Connection* connection, PendingCall call) {
+  connection->busy = true;
+  connection->done = std::move(call.done);
+  const double remaining_s = call.deadline - SteadyNow();
+  if (connection->evhttp == nullptr) Open(connection);
+  evhttp_connection* evhttp = connection->evhttp.get();
+  // The timer below bounds the whole call; the connection's own timeout only backs it up.
+  const timeval backup_timeout = ToTimeval(2 * (remaining_s > 0 ? remaining_s : 1));
+  evhttp_connection_set_timeout_tv(evhttp, &backup_timeout);
+  connection->request = evhttp_request_new(&HttpClient::OnResponse, connection);
+  evkeyvalq* headers = evhttp_request_get_output_headers(connection->request);
   evhttp_add_header(headers, "Host", host_.c_str());
   if (!call.body.empty()) {
     evhttp_add_header(headers, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(slot->request), call.body.data(),
+    evbuffer_add(evhttp_request_get_output_buffer(connection->request), call.body.data(),
                  call.body.size());
   }
-  evhttp_cmd_type type = EVHTTP_REQ_GET;
-  if (call.method == "POST") type = EVHTTP_REQ_POST;
-  if (call.method == "DELETE") type = EVHTTP_REQ_DELETE;
-  const auto expire = [this, slot] {
-    evhttp_request* request = std::exchange(slot->request, nullptr);
-    if (request != nullptr) evhttp_cancel_request(request);
-    // A connection whose answer did not come may still deliver it: never use it again.
-    if (slot->connection != nullptr) {
-      evhttp_connection_free(std::exchange(slot->connection, nullptr));
-    }
-    Finish(slot, Response{});
-  };
-  loop_->StartTimer(&slot->timer, left, expire, priority_);
-  if (evhttp_make_request(slot->connection, slot->request, type, call.path.c_str()) != 0) {
-    // evhttp has freed the request. The caller must not hear of it before Call returns.
-    slot->request = nullptr;
-    loop_->StartTimer(&slot->timer, 0, [this, slot] { Finish(slot, Response{}); });
+  loop_->StartTimer(
+      &connection->timer, remaining_s, [this, connection] { OnTimeout(connection); }, priority_);
+  if (evhttp_make_request(evhttp, connection->request, MethodOf(call.method), call.path.c_str()) !=
+      0) {
+    // evhttp has freed the request. The callback must not be called before Call returns.
+    connection->request = nullptr;
+    loop_->StartTimer(&connection->timer, 0,
+                      [this, connection] { Finish(connection, Response{}); });
     return;
   }
-  // Connecting anew has set it back.
-  bufferevent_priority_set(evhttp_connection_get_bufferevent(slot->connection),
-                           static_cast<int>(priority_));
+  // A new connection attempt resets the priority.
+  bufferevent_priority_set(evhttp_connection_get_bufferevent(evhttp), static_cast<int>(priority_));
 }
 
-void HttpClient::OnResponse(evhttp_request* request, void* arg) {
-  auto* slot = static_cast<Slot*>(arg);
-  if (slot->request == nullptr) return;  // cancelled
-  slot->request = nullptr;
-  Response response;
-  if (request != nullptr && evhttp_request_get_response_code(request) != 0) {
-    response.status = evhttp_request_get_response_code(request);
-    evbuffer* input = evhttp_request_get_input_buffer(request);
-    response.body.resize(evbuffer_get_length(input));
-    evbuffer_remove(input, response.body.data(), response.body.size());
-    const char* retry =
-        evhttp_find_header(evhttp_request_get_input_headers(request), "Retry-After");
-    if (retry != nullptr) {
-      std::from_chars(retry, retry + std::strlen(retry), response.retry_after_s);
-    }
-  }
-  slot->client->Finish(slot, std::move(response));
+void HttpClient::OnTimeout(Connection* connection) {
+  evhttp_request* request = std::exchange(connection->request, nullptr);
+  if (request != nullptr) evhttp_cancel_request(request);
+  // A connection whose response is overdue may still deliver it: it is never used again.
+  connection->evhttp.reset();
+  Finish(connection, Response{});
 }
 
-void HttpClient::Finish(Slot* slot, Response response) {
-  slot->timer.Cancel();
-  const Callback done = std::move(slot->done);
-  slot->done = nullptr;
-  slot->busy = false;
+void HttpClient::OnResponse(evhttp_request* request, void* connection) {
+  auto* self = static_cast<Connection*>(connection);
+  if (self->request == nullptr) return;  // cancelled
+  self->request = nullptr;
+  const bool complete = request != nullptr && evhttp_request_get_response_code(request) != 0;
+  self->client->Finish(self, complete ? ReadResponse(request) : Response{});
+}
+
+void HttpClient::Finish(Connection* connection, Response response) {
+  connection->timer.Cancel();
+  const Callback done = std::exchange(connection->done, nullptr);
+  connection->busy = false;
   // The connection is still inside evhttp's own callback: the next call starts from the loop.
-  if (!queue_.empty()) loop_->Post([this] { Next(); });
+  if (!queue_.empty()) loop_->Post([this] { StartQueuedCalls(); });
   if (done) done(std::move(response));
 }
 
-void HttpClient::Next() {
-  for (auto& slot : slots_) {
+void HttpClient::StartQueuedCalls() {
+  for (auto& connection : connections_) {
     if (queue_.empty()) return;
-    if (slot->busy) continue;
-    Pending call = std::move(queue_.front());
+    if (connection->busy) continue;
+    PendingCall call = std::move(queue_.front());
     queue_.pop_front();
-    Start(slot.get(), std::move(call));
+    Start(connection.get(), std::move(call));
   }
 }
 
-void HttpClient::ExpireQueue() {
+// Ends the queued calls whose deadline has passed and sets the timer for the next one.
+void HttpClient::ExpireQueuedCalls() {
   const double now = SteadyNow();
-  std::deque<Pending> kept;
   std::vector<Callback> expired;
-  for (Pending& call : queue_) {
-    if (call.deadline <= now) {
-      expired.push_back(std::move(call.done));
-    } else {
-      kept.push_back(std::move(call));
-    }
-  }
-  queue_ = std::move(kept);
-  double next = 0;
-  for (const Pending& call : queue_) {
-    if (next == 0 || call.deadline < next) next = call.deadline;
-  }
+  const auto first_expired = std::stable_partition(
+      queue_.begin(), queue_.end(), [now](const PendingCall& call) { return call.deadline > now; });
+  for (auto it = first_expired; it != queue_.end(); ++it) expired.push_back(std::move(it->done));
+  queue_.erase(first_expired, queue_.end());
   if (!queue_.empty()) {
-    loop_->StartTimer(&queue_timer_, next - now, [this] { ExpireQueue(); });
+    const auto next = std::min_element(
+        queue_.begin(), queue_.end(),
+        [](const PendingCall& a, const PendingCall& b) { return a.deadline < b.deadline; });
+    loop_->StartTimer(&queue_timer_, next->deadline - now, [this] { ExpireQueuedCalls(); });
   }
   for (const Callback& done : expired) done(Response{});
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,10 +1,12 @@
-// HTTP client on evhttp: a bounded pool of kept-open connections to one address. Every call has a
+// HTTP client on evhttp: a bounded pool of persistent connections to one address. Every call has a
 // timeout for its whole life; calls beyond the pool wait in a bounded queue.
 #ifndef ZINCLEAD_NET_HTTP_CLIENT_H_
 #define ZINCLEAD_NET_HTTP_CLIENT_H_
 
 #include <event2/http.h>
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -16,44 +18,52 @@
 
 namespace zinclead::net {
 
+// Belongs to the loop's thread.
 class HttpClient {
  public:
   using Callback = std::function<void(Response)>;
+  // `host` is an IPv4 address. Calls beyond `max_connections` and `max_queue` fail at once, and
+  // responses whose body exceeds `max_response` bytes count as none. `loop` must outlive the
+  // client.
   HttpClient(EventLoop* loop, std::string host, uint16_t port, size_t max_connections,
              size_t max_queue, size_t max_response,
              EventPriority priority = EventPriority::kNormal);
+  // Calls that are not answered yet are dropped: their callbacks are never called.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `done` gets status 0 when no whole answer came within `timeout_s`, which says nothing about
-  // whether the request was executed. It is never called from inside Call.
+  // `method` is GET, POST or DELETE. `done` gets status 0 when no complete response arrived within
+  // `timeout_s`, which says nothing about whether the request was executed. It is never called from
+  // inside Call.
   void Call(const std::string& method, std::string path, std::string body, double timeout_s,
             Callback done);
 
  private:
-  struct Slot;
-  struct Pending {
+  struct Connection;
+  struct PendingCall {
     std::string method;
     std::string path;
     std::string body;
-    double deadline = 0;
+    double deadline = 0;  // on the steady clock
     Callback done;
   };
-  void Start(Slot* slot, Pending call);
-  void Finish(Slot* slot, Response response);
-  void Next();
-  void ExpireQueue();
-  static void OnResponse(evhttp_request* request, void* slot);
-
-  EventLoop* loop_;
-  std::string host_;
-  uint16_t port_;
-  size_t max_queue_;
-  size_t max_response_;
-  EventPriority priority_;
-  std::vector<std::unique_ptr<Slot>> slots_;
-  std::deque<Pending> queue_;
+  static void OnResponse(evhttp_request* request, void* connection);
+  void Start(Connection* connection, PendingCall call);
+  void Open(Connection* connection);
+  void OnTimeout(Connection* connection);
+  void Finish(Connection* connection, Response response);
+  void StartQueuedCalls();
+  void ExpireQueuedCalls();
+
+  EventLoop* const loop_;
+  const std::string host_;
+  const uint16_t port_;
+  const size_t max_queue_;
+  const size_t max_response_;
+  const EventPriority priority_;
+  std::vector<std::unique_ptr<Connection>> connections_;
+  std::deque<PendingCall> queue_;
   EventLoop::Timer queue_timer_;
 };
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -15,6 +15,11 @@
 namespace zinclead::net {
 namespace {
 
+// How many connections evhttp lets wait to be accepted.
+constexpr int kEvhttpBacklog = 128;
+constexpr int kInternalServerError = 500;
+constexpr int kRetryAfterErrorS = 1;
+
 const char* MethodName(evhttp_cmd_type type) {
   switch (type) {
     case EVHTTP_REQ_GET:
@@ -30,7 +35,7 @@
   }
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -55,17 +60,42 @@
   }
 }
 
-// The socket of an answered request nearly always takes the answer at once. Without this the loop
-// first asks the kernel whether it does, and each report costs four calls of epoll_ctl and one more
-// of epoll_wait.
-void WriteNow(evhttp_connection* connection) {
+// The socket of an answered request nearly always takes the response at once. Without this the loop
+// first asks the kernel whether it does, and each heartbeat costs four calls of epoll_ctl and one
+// more of epoll_wait.
+void WriteWithoutPolling(evhttp_connection* connection) {
   event_active(&evhttp_connection_get_bufferevent(connection)->ev_write, EV_WRITE, 0);
 }
 
+Response InternalError(const char* body) { return {kInternalServerError, kRetryAfterErrorS, body}; }
+
+std::string TextOrEmpty(const char* text) { return text == nullptr ? "" : text; }
+
+ServerRequest ReadRequest(evhttp_request* request) {
+  ServerRequest read;
+  read.method = MethodName(evhttp_request_get_command(request));
+  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
+  if (uri != nullptr) {
+    read.path = TextOrEmpty(evhttp_uri_get_path(uri));
+    read.query = TextOrEmpty(evhttp_uri_get_query(uri));
+  }
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  read.body.resize(evbuffer_get_length(input));
+  evbuffer_remove(input, read.body.data(), read.body.size());
+  return read;
+}
+
+uint16_t BoundPort(evutil_socket_t socket) {
+  sockaddr_in address{};
+  socklen_t size = sizeof(address);
+  if (getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size) != 0) return 0;
+  return ntohs(address.sin_port);
+}
+
 }  // namespace
 
 Responder::~Responder() {
-  if (request_ != nullptr) Send({500, 1, "{\"error\":\"no answer\"}"});
+  if (request_ != nullptr) Send(InternalError("{\"error\":\"no answer\"}"));
 }
 
 void Responder::Send(const Response& response) {
@@ -73,91 +103,86 @@
   evhttp_request* request = std::exchange(request_, nullptr);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Content-Type", "application/json");
-  if (close_) evhttp_add_header(headers, "Connection", "close");
+  if (close_connection_) evhttp_add_header(headers, "Connection", "close");
   if (response.retry_after_s > 0) {
     evhttp_add_header(headers, "Retry-After", std::to_string(response.retry_after_s).c_str());
   }
-  evbuffer* body = evbuffer_new();
-  evbuffer_add(body, response.body.data(), response.body.size());
+  const BufferPtr body(evbuffer_new());
+  evbuffer_add(body.get(), response.body.data(), response.body.size());
   evhttp_connection* connection = evhttp_request_get_connection(request);
   // evhttp frees the request here if its connection has closed in the meantime.
-  evhttp_send_reply(request, response.status, Reason(response.status), body);
-  evbuffer_free(body);
-  if (connection != nullptr) WriteNow(connection);
+  evhttp_send_reply(request, response.status, ReasonPhrase(response.status), body.get());
+  if (connection != nullptr) WriteWithoutPolling(connection);
 }
 
 HttpServer::HttpServer(EventLoop* loop, const std::string& host, uint16_t port,
                        const Limits& limits, Handler handler)
     : loop_(loop),
-      http_(evhttp_new(loop->base())),
-      max_kept_(limits.max_persistent_connections),
+      max_persistent_connections_(limits.max_persistent_connections),
       priority_(limits.priority),
-      handler_(std::move(handler)) {
+      handler_(std::move(handler)),
+      http_(evhttp_new(loop->base())) {
   if (http_ == nullptr) throw std::runtime_error("cannot create an HTTP server");
-  evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(4 * limits.max_body));
-  evhttp_set_max_headers_size(http_, static_cast<ev_ssize_t>(limits.max_body / 4));
-  evhttp_set_timeout(http_, static_cast<int>(std::ceil(limits.idle_s)));
-  evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
-                                        EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
-                                        EVHTTP_REQ_PATCH);
-  evhttp_set_gencb(http_, &HttpServer::OnRequest, this);
-  evhttp_bound_socket* socket = evhttp_bind_socket_with_handle(http_, host.c_str(), port);
-  if (socket == nullptr) {
-    evhttp_free(http_);
+  Configure(limits);
+  Listen(host, port, limits.backlog);
+}
+
+void HttpServer::Configure(const Limits& limits) {
+  evhttp* http = http_.get();
+  evhttp_set_max_body_size(http, static_cast<ev_ssize_t>(4 * limits.max_body_bytes));
+  evhttp_set_max_headers_size(http, static_cast<ev_ssize_t>(limits.max_body_bytes / 4));
+  evhttp_set_timeout(http, static_cast<int>(std::ceil(limits.idle_timeout_s)));
+  // All methods, so that the handler answers those that it does not support.
+  evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
+                                       EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
+                                       EVHTTP_REQ_PATCH);
+  evhttp_set_gencb(http, &HttpServer::OnRequest, this);
+}
+
+void HttpServer::Listen(const std::string& host, uint16_t port, int backlog) {
+  evhttp_bound_socket* bound = evhttp_bind_socket_with_handle(http_.get(), host.c_str(), port);
+  if (bound == nullptr) {
     throw std::runtime_error("cannot listen on " + host + ":" + std::to_string(port));
   }
-  const evutil_socket_t fd = evhttp_bound_socket_get_fd(socket);
-  // evhttp lets 128 connections wait, far fewer than the workers that come at once to a new leader.
-  if (limits.backlog > 128 && listen(fd, limits.backlog) != 0) {
-    spdlog::error("cannot let {} connections wait on port {}", limits.backlog, port);
-  }
-  sockaddr_in address{};
-  socklen_t size = sizeof(address);
-  if (getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0) {
-    port_ = ntohs(address.sin_port);
+  const evutil_socket_t socket = evhttp_bound_socket_get_fd(bound);
+  // Far more workers connect at once to a new leader than evhttp lets wait.
+  if (backlog > kEvhttpBacklog && listen(socket, backlog) != 0) {
+    spdlog::error("cannot set a backlog of {} connections on port {}", backlog, port);
   }
+  port_ = BoundPort(socket);
 }
 
-HttpServer::~HttpServer() { evhttp_free(http_); }
-
-// More workers and users may come than the node may have sockets. If they took them all, the node
-// could not even reach the state service any more; so beyond the limit a connection lives for one
+// More workers and users may connect than the node may have sockets. If they took them all, the
+// node could not even reach the key-value store; so beyond the limit a connection lives for one
 // request only.
-bool HttpServer::Keep(evhttp_connection* connection) {
-  if (kept_.contains(connection)) return true;
-  if (kept_.size() >= max_kept_) return false;
-  kept_.insert(connection);
+bool HttpServer::KeepOpen(evhttp_connection* connection) {
+  if (persistent_.contains(connection)) return true;
+  if (persistent_.size() >= max_persistent_connections_) return false;
+  persistent_.insert(connection);
   bufferevent_priority_set(evhttp_connection_get_bufferevent(connection),
                            static_cast<int>(priority_));
-  evhttp_connection_set_closecb(
-      connection,
-      [](evhttp_connection* closed, void* self) {
-        static_cast<HttpServer*>(self)->kept_.erase(closed);
-      },
-      this);
+  evhttp_connection_set_closecb(connection, &HttpServer::OnConnectionClosed, this);
   return true;
 }
 
-void HttpServer::OnRequest(evhttp_request* request, void* self) {
-  auto* server = static_cast<HttpServer*>(self);
-  ServerRequest parsed;
-  parsed.method = MethodName(evhttp_request_get_command(request));
-  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
-  const char* path = uri == nullptr ? nullptr : evhttp_uri_get_path(uri);
-  parsed.path = path == nullptr ? "" : path;
-  const char* query = uri == nullptr ? nullptr : evhttp_uri_get_query(uri);
-  parsed.query = query == nullptr ? "" : query;
-  evbuffer* input = evhttp_request_get_input_buffer(request);
-  parsed.body.resize(evbuffer_get_length(input));
-  evbuffer_remove(input, parsed.body.data(), parsed.body.size());
-  if (server->priority_ == EventPriority::kNormal) server->loop_->CountServedRequest();
-  const bool keep = server->Keep(evhttp_request_get_connection(request));
-  auto responder = std::make_shared<Responder>(request, !keep);
+void HttpServer::OnConnectionClosed(evhttp_connection* connection, void* server) {
+  static_cast<HttpServer*>(server)->persistent_.erase(connection);
+}
+
+void HttpServer::OnRequest(evhttp_request* request, void* server) {
+  static_cast<HttpServer*>(server)->Handle(request);
+}
+
+void HttpServer::Handle(evhttp_request* request) {
+  ServerRequest read = ReadRequest(request);
+  if (priority_ == EventPriority::kNormal) loop_->CountServedRequest();
+  const bool keep_open = KeepOpen(evhttp_request_get_connection(request));
+  const auto responder = std::make_shared<Responder>(request, !keep_open);
   try {
-    server->handler_(std::move(parsed), responder);
+    handler_(std::move(read), responder);
   } catch (const std::exception& e) {
     spdlog::error("request handler failed: {}", e.what());
-    responder->Send({500, 1, "{\"error\":\"internal error\"}"});
+    responder->Send(InternalError("{\"error\":\"internal error\"}"));
   }
 }
 
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -68,16 +68,16 @@
   net::HttpServer::Limits limits;
   // Kept-open connections of workers and users fall silent for a report or a poll; after a worker's
   // lease whoever was there is gone.
-  limits.idle_s = settings_.lease_s;
+  limits.idle_timeout_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
-  limits.max_body = wire::kMaxBody;
+  limits.max_body_bytes = wire::kMaxBody;
   limits.max_persistent_connections = settings_.PoolSize(kPublicSocketShare, 8);
   public_server_ = std::make_unique<net::HttpServer>(
       &loop_, settings_.listen.host, settings_.listen.port, limits,
       [this](const net::ServerRequest& request, const net::ResponderPtr& responder) {
         OnPublic(request, responder);
       });
-  limits.max_body = 4 * wire::kMaxBody;
+  limits.max_body_bytes = 4 * wire::kMaxBody;
   limits.max_persistent_connections =
       static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
   // A node that answers its peers late is taken for lost.
