--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -33,9 +33,10 @@
       term_(term),
       fence_(std::move(fence)),
       isolated_(std::move(isolated)),
-      cluster_(std::make_unique<core::Cluster>(settings, operator_settings, term, net::SteadyNow(),
-                                               net::WallNow(), std::random_device()(),
-                                               net::SteadyNow)) {
+      locked_cluster_(std::make_unique<core::Cluster>(settings, operator_settings, term,
+                                                      net::SteadyNow(), net::WallNow(),
+                                                      std::random_device()(), net::SteadyNow)),
+      cluster_(locked_cluster_.WithLock([](core::Cluster& cluster) { return &cluster; })) {
   load_started_ = net::SteadyNow();
   Load("");
 }
@@ -44,7 +45,7 @@
   *alive_ = false;
   {
     const std::lock_guard lock(scheduler_->mutex);
-    if (scheduler_->cluster == cluster_.get()) scheduler_->cluster = nullptr;
+    if (scheduler_->cluster == &locked_cluster_) scheduler_->cluster = nullptr;
   }
   // Whether they were carried out is for the next leader to say.
   for (auto& [id, requests] : pending_requests_) {
@@ -80,7 +81,7 @@
   const double now = net::SteadyNow();
   cluster_->FinishLoading(now);
   committer_ = std::make_unique<state::Committer>(
-      loop_, store_, settings_, &scheduler_->mutex, cluster_.get(), fence_, std::move(versions_),
+      loop_, store_, settings_, &locked_cluster_, fence_, std::move(versions_),
       state::Committer::Hooks{[this] { OnStored(); },
                               [elector = elector_] { elector->OnFenced(); }});
   loaded_ = true;
@@ -90,7 +91,7 @@
                records_, now - load_started_, cluster_->ActiveJobs(), cluster_->machines().size());
   {
     const std::lock_guard lock(scheduler_->mutex);
-    scheduler_->cluster = cluster_.get();
+    scheduler_->cluster = &locked_cluster_;
   }
   AfterChange();
   Tick();
@@ -164,7 +165,7 @@
       known = cluster_->HasMachineTypes();
     }
     types_at_ = now + (known ? operator_settings_.idle_s : settings_.heartbeat_interval_s / 3);
-    cloud_->MachineTypes(
+    cloud_->ListMachineTypes(
         [this, alive = alive_](std::optional<std::vector<wire::MachineType>> types) {
           if (!*alive || !types) return;
           {
@@ -176,14 +177,15 @@
   }
   if (now >= list_at_) {
     list_at_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
-    cloud_->List([this, alive = alive_](std::optional<std::vector<wire::ListedMachine>> machines) {
-      if (!*alive || !machines) return;
-      {
-        const std::lock_guard lock(scheduler_->mutex);
-        cluster_->OnMachineList(*machines, net::SteadyNow());
-      }
-      AfterChange();
-    });
+    cloud_->ListMachines(
+        [this, alive = alive_](std::optional<std::vector<wire::ListedMachine>> machines) {
+          if (!*alive || !machines) return;
+          {
+            const std::lock_guard lock(scheduler_->mutex);
+            cluster_->OnMachineList(*machines, net::SteadyNow());
+          }
+          AfterChange();
+        });
   }
 }
 
@@ -230,7 +232,7 @@
             static_cast<std::ptrdiff_t>(
                 std::min(i + wire::kMaxDeleteNames, cloud_actions.scale_in.size())));
     spdlog::info("returning {} machines, {} the first", names.size(), names.front());
-    cloud_->Delete(names, [this, alive = alive_, names](bool gone) {
+    cloud_->Terminate(names, [this, alive = alive_, names](bool gone) {
       if (!*alive) return;
       {
         const std::lock_guard lock(scheduler_->mutex);
