--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -8,23 +8,31 @@
 namespace zinclead::election {
 namespace {
 
-// The lease is renewed this many times in its life.
-constexpr double kRenewals = 4;
-// Of the lease's life, what a renewal may take. A node that falls behind sees an answer late, and
-// one that it did not wait for costs a new connection besides.
-constexpr double kRenewalPatience = 0.9;
-// Renewals under way at once: an answer that is late or lost must not hold up the next renewal.
-constexpr int kRenewalsAtOnce = 2;
-// By our clock the lease ends this share earlier, far more than the clocks' drift.
-constexpr double kSafety = 0.01;
-
+using state::Outcome;
+
+constexpr double kMinLeaseS = 1;
+// Renewals in the duration of a lease.
+constexpr double kRenewalsPerLease = 4;
+// Share of the lease's duration that a renewal may take. A node that falls behind sees an answer
+// late, and giving up on an answer costs a new connection besides.
+constexpr double kRenewalTimeoutShare = 0.9;
+// An answer that is late or lost must not hold up the next renewal.
+constexpr int kMaxRenewalsInFlight = 2;
+// By this node's clock the lease ends this share earlier, far more than the clocks' drift.
+constexpr double kClockDriftMargin = 0.01;
+
+// What the leader key holds.
 struct LeaderRecord {
   std::string node;
   uint64_t term = 0;
   uint64_t lease = 0;
 };
 
-std::optional<LeaderRecord> ParseLeader(const wire::Json& json) {
+wire::Json ToJson(const LeaderRecord& record) {
+  return {{"node", record.node}, {"term", record.term}, {"lease", record.lease}};
+}
+
+std::optional<LeaderRecord> ParseLeaderRecord(const wire::Json& json) {
   if (!json.is_object()) return std::nullopt;
   const auto node = json.find("node");
   const auto term = json.find("term");
@@ -43,51 +51,66 @@
     : timers_(timers),
       store_(store),
       node_(settings.node),
-      lease_s_(std::max(1.0, operator_settings.leader_lease_share * settings.cancel_s)),
+      lease_s_(std::max(kMinLeaseS, operator_settings.leader_lease_share * settings.cancel_s)),
       hooks_(std::move(hooks)) {}
 
 void Elector::Start() { PollLeader(); }
 
+double Elector::RenewalInterval() const { return lease_s_ / kRenewalsPerLease; }
+
+double Elector::RetryInterval() const { return RenewalInterval() / 2; }
+
+double Elector::ValidUntil(double requested_at) const {
+  return requested_at + lease_s_ * (1 - kClockDriftMargin);
+}
+
 void Elector::SchedulePoll(double delay_s) {
+  state_ = State::kIdle;
   timers_->After(Timers::kPoll, delay_s, [this] { PollLeader(); });
 }
 
 void Elector::PollLeader() {
-  if (leading_) return;
-  store_->Get(
-      kLeaderKey, core::Importance::kLeadership,
-      [this](state::Outcome outcome, std::optional<wire::StoreItem> item, uint64_t revision) {
-        if (leading_) return;
-        (void)revision;
-        if (outcome == state::Outcome::kNotFound || outcome == state::Outcome::kOk) {
-          store_contact_at_ = timers_->Now();
-        }
-        if (outcome == state::Outcome::kNotFound) return Campaign();
-        if (outcome != state::Outcome::kOk) return SchedulePoll(lease_s_ / kRenewals / 2);
-        const auto record = ParseLeader(item->value);
-        if (!record) {
-          spdlog::error("the leader key holds something else; waiting for it to go");
-          return SchedulePoll(lease_s_);
-        }
-        if (record->node == node_) {
-          // Ours from before a restart, or from an election whose answer got lost. Nothing
-          // acts under it any more, so it need not be waited out.
-          spdlog::info("giving up the lease of term {} from before a restart", record->term);
-          store_->Revoke(record->lease);
-          return SchedulePoll(lease_s_ / kRenewals / 4);
-        }
-        ObserveLeader(record->node, record->term);
-        Watch(item->version);
-      });
+  if (leading()) return;
+  state_ = State::kPolling;
+  store_->Get(kLeaderKey, core::Importance::kLeadership,
+              [this](Outcome outcome, const std::optional<wire::StoreItem>& item,
+                     uint64_t /*revision*/) { OnLeaderRead(outcome, item); });
+}
+
+void Elector::OnLeaderRead(Outcome outcome, const std::optional<wire::StoreItem>& item) {
+  if (leading()) return;
+  if (outcome == Outcome::kNotFound || outcome == Outcome::kOk) {
+    store_contact_at_ = timers_->Now();
+  }
+  if (outcome == Outcome::kNotFound) return Campaign();
+  if (outcome != Outcome::kOk) return SchedulePoll(RetryInterval());
+  const auto record = ParseLeaderRecord(item->value);
+  if (!record) {
+    spdlog::error("the leader key holds a malformed record; waiting until it is removed");
+    return SchedulePoll(lease_s_);
+  }
+  if (record->node == node_) {
+    // Left from before a restart, or from an election whose answer was lost. Nothing acts under
+    // this lease any more, so there is no need to wait until it expires.
+    spdlog::info("revoking this node's earlier lease of term {}", record->term);
+    store_->Revoke(record->lease);
+    return SchedulePoll(RenewalInterval() / 4);
+  }
+  ObserveLeader(record->node, record->term);
+  Watch(item->version);
 }
 
 void Elector::Watch(uint64_t after) {
-  store_->Watch(kLeaderKey, after, 2 * lease_s_, [this](state::Outcome outcome) {
-    if (leading_) return;
-    // Whatever happened, the key itself is read next. During an outage don't spin.
-    if (outcome == state::Outcome::kOk) return PollLeader();
-    SchedulePoll(lease_s_ / kRenewals / 2);
-  });
+  state_ = State::kWatching;
+  store_->Watch(kLeaderKey, after, 2 * lease_s_,
+                [this](Outcome outcome) { OnWatchEnded(outcome); });
+}
+
+void Elector::OnWatchEnded(Outcome outcome) {
+  if (leading()) return;
+  // Whatever happened, the key itself is read next; during an outage not without a pause.
+  if (outcome == Outcome::kOk) return PollLeader();
+  SchedulePoll(RetryInterval());
 }
 
 void Elector::ObserveLeader(const std::string& node, uint64_t term) {
@@ -98,84 +121,101 @@
 }
 
 void Elector::Campaign() {
+  state_ = State::kCampaigning;
   leader_.clear();
   store_->Get(kTermKey, core::Importance::kLeadership,
-              [this](state::Outcome outcome, std::optional<wire::StoreItem> item, uint64_t) {
-                if (leading_) return;
-                if (outcome != state::Outcome::kOk && outcome != state::Outcome::kNotFound) {
-                  return SchedulePoll(lease_s_ / kRenewals / 2);
-                }
-                uint64_t term = 0;
-                uint64_t version = 0;
-                if (item) {
-                  version = item->version;
-                  if (item->value.is_number_unsigned()) term = item->value.get<uint64_t>();
-                }
-                const double requested_at = timers_->Now();
-                store_->Grant(lease_s_, [this, term, version, requested_at](state::Outcome granted,
-                                                                            uint64_t lease) {
-                  if (leading_) return;
-                  if (granted != state::Outcome::kOk) return SchedulePoll(lease_s_ / kRenewals / 2);
-                  Elect(term + 1, version, lease, requested_at);
+              [this](Outcome outcome, const std::optional<wire::StoreItem>& item,
+                     uint64_t /*revision*/) { OnTermRead(outcome, item); });
+}
+
+void Elector::OnTermRead(Outcome outcome, const std::optional<wire::StoreItem>& item) {
+  if (leading()) return;
+  if (outcome != Outcome::kOk && outcome != Outcome::kNotFound) {
+    return SchedulePoll(RetryInterval());
+  }
+  uint64_t last_term = 0;
+  uint64_t version = 0;
+  if (item) {
+    version = item->version;
+    if (item->value.is_number_unsigned()) last_term = item->value.get<uint64_t>();
+  }
+  RequestLease(last_term + 1, version);
+}
+
+void Elector::RequestLease(uint64_t term, uint64_t term_version) {
+  const double requested_at = timers_->Now();
+  store_->Grant(lease_s_,
+                [this, term, term_version, requested_at](Outcome outcome, uint64_t lease) {
+                  if (leading()) return;
+                  if (outcome != Outcome::kOk) return SchedulePoll(RetryInterval());
+                  CommitElection({term, term_version, lease, requested_at});
                 });
-              });
-}
-
-void Elector::Elect(uint64_t term, uint64_t term_version, uint64_t lease, double requested_at) {
-  const wire::Json record{{"node", node_}, {"term", term}, {"lease", lease}};
-  store_->Commit(
-      {{kLeaderKey, 0}, {kTermKey, term_version}},
-      {{kLeaderKey, record, lease}, {kTermKey, wire::Json(term), std::nullopt}},
-      core::Importance::kLeadership,
-      [this, term, lease, requested_at](state::Outcome outcome, uint64_t revision,
-                                        const std::vector<std::string>&) {
-        if (leading_) return;
-        if (outcome != state::Outcome::kOk) {
-          // Lost, or unanswered. In doubt the term is not taken: Look finds the key, if
-          // it is ours, and gives it up.
-          if (outcome != state::Outcome::kUnknown) store_->Revoke(lease);
-          return SchedulePoll(outcome == state::Outcome::kConflict ? 0 : lease_s_ / kRenewals / 2);
-        }
-        leading_ = true;
-        renewals_under_way_ = 0;
-        lease_ = lease;
-        term_ = term;
-        valid_until_ = requested_at + lease_s_ * (1 - kSafety);
-        spdlog::info("elected leader of term {}", term);
-        ObserveLeader(node_, term);
-        timers_->After(Timers::kRenew, lease_s_ / kRenewals, [this] { Renew(); });
-        hooks_.on_elected(term, {kLeaderKey, revision});
-      });
+}
+
+void Elector::CommitElection(const Candidacy& candidacy) {
+  const LeaderRecord record{node_, candidacy.term, candidacy.lease};
+  store_->Commit({{kLeaderKey, 0}, {kTermKey, candidacy.term_version}},
+                 {{kLeaderKey, ToJson(record), candidacy.lease},
+                  {kTermKey, wire::Json(candidacy.term), std::nullopt}},
+                 core::Importance::kLeadership,
+                 [this, candidacy](Outcome outcome, uint64_t revision,
+                                   const std::vector<std::string>& /*failed*/) {
+                   OnElectionAnswered(candidacy, outcome, revision);
+                 });
+}
+
+void Elector::OnElectionAnswered(const Candidacy& candidacy, Outcome outcome, uint64_t revision) {
+  if (leading()) return;
+  if (outcome == Outcome::kOk) return BecomeLeader(candidacy, revision);
+  // Without an answer the election may have succeeded, or may yet. The node does not lead that
+  // term: the next poll finds the key, if it is this node's, and revokes its lease.
+  if (outcome != Outcome::kUnknown) store_->Revoke(candidacy.lease);
+  SchedulePoll(outcome == Outcome::kConflict ? 0 : RetryInterval());
+}
+
+void Elector::BecomeLeader(const Candidacy& candidacy, uint64_t revision) {
+  state_ = State::kLeading;
+  renewals_in_flight_ = 0;
+  lease_ = candidacy.lease;
+  term_ = candidacy.term;
+  valid_until_ = ValidUntil(candidacy.requested_at);
+  spdlog::info("elected leader of term {}", term_);
+  ObserveLeader(node_, term_);
+  ScheduleRenewal();
+  hooks_.on_elected(candidacy.term, {kLeaderKey, revision});
+}
+
+void Elector::ScheduleRenewal() {
+  timers_->After(Timers::kRenew, RenewalInterval(), [this] { Renew(); });
 }
 
 void Elector::Renew() {
-  if (!leading_) return;
-  timers_->After(Timers::kRenew, lease_s_ / kRenewals, [this] { Renew(); });
-  if (renewals_under_way_ >= kRenewalsAtOnce) return;
-  ++renewals_under_way_;
+  if (!leading()) return;
+  ScheduleRenewal();
+  if (renewals_in_flight_ >= kMaxRenewalsInFlight) return;
+  ++renewals_in_flight_;
   const double requested_at = timers_->Now();
-  const uint64_t lease = lease_;
-  store_->Renew(lease, lease_s_ * kRenewalPatience,
-                [this, lease, requested_at](state::Outcome outcome, uint64_t) {
-                  if (!leading_ || lease != lease_) return;
-                  --renewals_under_way_;
-                  if (outcome == state::Outcome::kOk) {
-                    if (timers_->Now() >= valid_until_) {
-                      spdlog::info("the lease of term {} is valid again", term_);
-                    }
-                    valid_until_ = std::max(valid_until_, requested_at + lease_s_ * (1 - kSafety));
-                  } else if (outcome == state::Outcome::kNotFound) {
-                    StepDown("the lease has ended");
-                  }
-                  // Anything else: an outage, or only this node is refused. The lease runs on, and
-                  // out, by itself.
+  store_->Renew(lease_, lease_s_ * kRenewalTimeoutShare,
+                [this, lease = lease_, requested_at](Outcome outcome, uint64_t /*lease*/) {
+                  OnRenewalAnswered(lease, requested_at, outcome);
                 });
 }
 
-void Elector::StepDown(const char* why) {
-  if (!leading_) return;
-  spdlog::info("no longer leader of term {}: {}", term_, why);
-  leading_ = false;
+void Elector::OnRenewalAnswered(uint64_t lease, double requested_at, Outcome outcome) {
+  if (!leading() || lease != lease_) return;
+  --renewals_in_flight_;
+  if (outcome == Outcome::kNotFound) return StepDown("the lease expired");
+  // Anything else is an outage, or the state service rejects only this node: the lease stays as it
+  // is, and expires by itself.
+  if (outcome != Outcome::kOk) return;
+  if (timers_->Now() >= valid_until_) spdlog::info("the lease of term {} is valid again", term_);
+  valid_until_ = std::max(valid_until_, ValidUntil(requested_at));
+}
+
+void Elector::StepDown(const char* reason) {
+  if (!leading()) return;
+  spdlog::info("no longer leader of term {}: {}", term_, reason);
+  state_ = State::kIdle;
   timers_->Cancel(Timers::kRenew);
   store_->Revoke(lease_);
   if (leader_ == node_) leader_.clear();
@@ -184,14 +224,14 @@
 }
 
 void Elector::OnTermSeen(uint64_t term) {
-  if (leading_ && term > term_) StepDown("a higher term was seen");
+  if (leading() && term > term_) StepDown("a message carried a higher term");
 }
 
 void Elector::OnLeaderAnnouncement(const std::string& node, uint64_t term) {
   OnTermSeen(term);
-  if (!leading_ && !node.empty()) ObserveLeader(node, term);
+  if (!leading() && !node.empty()) ObserveLeader(node, term);
 }
 
-void Elector::OnFenced() { StepDown("a commit was fenced off"); }
+void Elector::OnFenced() { StepDown("a write was fenced off"); }
 
 }  // namespace zinclead::election
