--- /dev/null
+++ b/src/service/cloud_poller.cc
@@ -0,0 +1,112 @@
+#include "service/cloud_poller.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <optional>
+#include <utility>
+
+#include "net/event_loop.h"
+
+namespace zinclead::service {
+namespace {
+
+using core::Cluster;
+
+// Polls for machine types in a heartbeat interval, until they are known.
+constexpr double kTypesPollsPerHeartbeat = 3;
+
+Cluster::ScaleOutOutcome ToOutcome(cloud::ScaleOutResult result) {
+  switch (result) {
+    case cloud::ScaleOutResult::kProvisioned:
+      return Cluster::ScaleOutOutcome::kProvisioned;
+    case cloud::ScaleOutResult::kNoCapacity:
+      return Cluster::ScaleOutOutcome::kNoCapacity;
+    case cloud::ScaleOutResult::kUnknown:
+      return Cluster::ScaleOutOutcome::kUnknown;
+  }
+  return Cluster::ScaleOutOutcome::kUnknown;
+}
+
+}  // namespace
+
+CloudPoller::CloudPoller(cloud::CloudClient* cloud, const config::Settings& settings,
+                         const config::OperatorSettings& operator_settings,
+                         std::shared_ptr<core::LockedCluster> cluster,
+                         std::function<void()> on_change)
+    : cloud_(cloud),
+      settings_(settings),
+      operator_settings_(operator_settings),
+      cluster_(std::move(cluster)),
+      on_change_(std::move(on_change)) {}
+
+void CloudPoller::Poll(double now) {
+  if (now >= next_types_poll_) PollMachineTypes(now);
+  if (now >= next_list_poll_) PollMachineList(now);
+}
+
+void CloudPoller::PollMachineTypes(double now) {
+  const bool known =
+      cluster_->WithLock([](const Cluster& cluster) { return cluster.HasMachineTypes(); });
+  next_types_poll_ = now + (known ? operator_settings_.idle_s
+                                  : settings_.heartbeat_interval_s / kTypesPollsPerHeartbeat);
+  cloud_->MachineTypes(
+      guard_.Wrap([this](const std::optional<std::vector<wire::MachineType>>& types) {
+        if (!types) return;
+        cluster_->WithLock([&](Cluster& cluster) { cluster.OnMachineTypes(*types); });
+        on_change_();
+      }));
+}
+
+void CloudPoller::PollMachineList(double now) {
+  next_list_poll_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
+  cloud_->List(guard_.Wrap([this](const std::optional<std::vector<wire::ListedMachine>>& machines) {
+    if (!machines) return;
+    cluster_->WithLock(
+        [&](Cluster& cluster) { cluster.OnMachineList(*machines, net::SteadyNow()); });
+    on_change_();
+  }));
+}
+
+void CloudPoller::Issue(const core::CloudActions& actions) {
+  for (const wire::ScaleOutRequest& request : actions.scale_out) ScaleOut(request);
+  const std::vector<std::string>& machines = actions.scale_in;
+  for (size_t first = 0; first < machines.size(); first += wire::kMaxDeleteNames) {
+    const size_t last = std::min(first + wire::kMaxDeleteNames, machines.size());
+    Terminate({machines.begin() + static_cast<std::ptrdiff_t>(first),
+               machines.begin() + static_cast<std::ptrdiff_t>(last)});
+  }
+}
+
+void CloudPoller::ScaleOut(const wire::ScaleOutRequest& request) {
+  spdlog::info("scaling out: {} {} in {}{} ({})", request.count, request.type, request.zone,
+               request.spot ? ", spot" : "", request.name);
+  cloud_->ScaleOut(
+      request, guard_.Wrap([this, name = request.name](cloud::ScaleOutResult result,
+                                                       const std::vector<std::string>& machines) {
+        OnScaleOutAnswered(name, result, machines);
+      }));
+}
+
+void CloudPoller::OnScaleOutAnswered(const std::string& name, cloud::ScaleOutResult result,
+                                     const std::vector<std::string>& machines) {
+  const Cluster::ScaleOutOutcome outcome = ToOutcome(result);
+  spdlog::debug("scale out {}: {} machines, outcome {}", name, machines.size(),
+                static_cast<int>(outcome));
+  cluster_->WithLock([&](Cluster& cluster) {
+    cluster.OnScaleOutAnswered(name, outcome, machines, net::SteadyNow());
+  });
+  on_change_();
+}
+
+void CloudPoller::Terminate(const std::vector<std::string>& machines) {
+  spdlog::info("scaling in: {} machines, {} the first", machines.size(), machines.front());
+  cloud_->Delete(machines, guard_.Wrap([this, machines](bool terminated) {
+    cluster_->WithLock(
+        [&](Cluster& cluster) { cluster.OnTerminated(machines, terminated, net::SteadyNow()); });
+    on_change_();
+  }));
+}
+
+}  // namespace zinclead::service
--- a/src/service/leader.h
+++ b/src/service/leader.h
@@ -1,27 +1,28 @@
-// One term of leadership: loads the records, answers users and workers, writes and calls the cloud.
-// Made when the node is elected, destroyed when the term is over.
+// One term of leadership: loads the records, answers users and workers, and has the cluster's
+// decisions written and carried out. Created when the node is elected, destroyed when its term is
+// over.
 #ifndef ZINCLEAD_SERVICE_LEADER_H_
 #define ZINCLEAD_SERVICE_LEADER_H_
 
-#include <condition_variable>
 #include <functional>
-#include <map>
 #include <memory>
-#include <mutex>
 #include <optional>
 #include <set>
 #include <string>
-#include <unordered_map>
-#include <vector>
 
 #include "cloud/cloud_client.h"
 #include "config/operator_settings.h"
 #include "config/settings.h"
-#include "core/cluster.h"
 #include "core/locked_cluster.h"
 #include "election/elector.h"
+#include "net/callback_guard.h"
 #include "net/event_loop.h"
-#include "net/http_server.h"
+#include "service/cloud_poller.h"
+#include "service/job_requests.h"
+#include "service/record_loader.h"
+#include "service/responses.h"
+#include "service/scheduler_thread.h"
+#include "service/user_request.h"
 #include "state/committer.h"
 #include "state/store_client.h"
 #include "wire/peer_messages.h"
@@ -29,93 +30,79 @@
 
 namespace zinclead::service {
 
-using Reply = std::function<void(net::Response)>;
-
-// What the I/O thread and the scheduler thread share. The lock is never held across I/O.
-struct SchedulerState {
-  std::mutex mutex;
-  std::condition_variable wake;
-  // Guarded by mutex; null: no term, or not loaded yet. Its own lock is taken after this one.
-  core::LockedCluster* cluster = nullptr;
-  double valid_until = 0;       // guarded by mutex; the leader's lease, as it knows it
-  double next_wake = 0;         // guarded by mutex; the scheduler thread's next look
-  bool wake_requested = false;  // guarded by mutex; it should look before that
-  bool stop = false;            // guarded by mutex
-};
-
-net::Response ServiceUnavailable(const char* why);
-
+// Belongs to the I/O thread; shares only the cluster with the scheduler thread.
 class Leader {
  public:
-  Leader(net::EventLoop* loop, const config::Settings& settings,
-         const config::OperatorSettings& operator_settings, state::StoreClient* store,
-         cloud::CloudClient* cloud, election::Elector* elector, SchedulerState* scheduler,
-         uint64_t term, wire::VersionPrecondition fence, std::function<bool()> isolated);
+  // What a leader uses of its node. All of it must outlive the leader.
+  struct Dependencies {
+    net::EventLoop* loop = nullptr;
+    const config::Settings* settings = nullptr;
+    const config::OperatorSettings* operator_settings = nullptr;
+    state::StoreClient* store = nullptr;
+    cloud::CloudClient* cloud = nullptr;
+    election::Elector* elector = nullptr;
+    SchedulerThread* scheduler_thread = nullptr;
+    // Whether this node reaches neither the state service nor any peer.
+    std::function<bool()> isolated;
+  };
+
+  // Starts to load the records. `fence`: holds as long as `term` is this node's; all writes depend
+  // on it.
+  Leader(Dependencies dependencies, uint64_t term, wire::VersionPrecondition fence);
+  // Refuses the requests that wait for durability.
   ~Leader();
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // Answers a user's call now, or once what it asks for is durable.
-  void Submit(const wire::JobSpec& spec, Reply reply);
-  // A submission that can't be taken for `error`, unless its job was accepted before.
-  void SubmitMalformed(const std::string& id, const std::string& error, const Reply& reply);
-  void Query(const std::string& id, const Reply& reply);
-  void Cancel(const std::string& id, Reply reply);
+  // Answers a user's request now, or once what it asks for is durable; 503 while loading.
+  void OnUserRequest(const UserRequest& request, const Reply& reply);
 
+  // Answers a worker: its commands, or 503 if its lease must not be renewed.
   net::Response OnHeartbeat(const wire::Heartbeat& heartbeat);
-  void Apply(const core::CloudActions& cloud_actions);
-  // A peer has shown that it knows this term; it leads no earlier one then, nor will it again.
+
+  // Carries out what a scheduling cycle of this term decided.
+  void Apply(const core::CloudActions& actions);
+
+  // `peer` has shown that it knows this term; it leads no earlier one then, nor will it again.
   void OnPeerAcknowledgedTerm(const std::string& peer);
 
   // What followers may forward to this leader; nullopt if admission sets them no limit.
-  std::optional<wire::CreditGrant> MakeCreditGrant();
+  [[nodiscard]] std::optional<wire::CreditGrant> MakeCreditGrant();
 
-  bool loaded() const { return loaded_; }
-  uint64_t term() const { return term_; }
+  [[nodiscard]] uint64_t term() const { return term_; }
 
  private:
-  struct PendingRequest {
-    Reply reply;
-    double until = 0;
-    bool submission = false;
+  // What a change of the cluster may have left to do.
+  struct PendingWork {
+    double next_cycle_at = 0;
+    bool has_queued_records = false;
   };
-  void Load(const std::string& after);
-  void Loaded();
-  void Tick();
+
+  // The records are loaded; the leader serves from then on.
+  [[nodiscard]] bool loaded() const { return committer_ != nullptr; }
+  [[nodiscard]] bool AllPeersAcknowledgedTerm() const;
+  void OnLoaded(RecordLoader::LoadedRecords records);
+  void OnTick();
   void LogSummary();
-  void PollCloud(double now);
-  void AfterChange();
   void OnStored();
-  void CompletePendingRequests(const std::string& id);
-  // What may be told of the job now, or why the user must come back. Neither: it is not known.
-  std::optional<core::Cluster::JobView> VisibleState(const std::string& id, const char** why);
-  bool MayRenewWorkerLeases(double now) const;
-
-  net::EventLoop* loop_;
-  const config::Settings& settings_;
-  const config::OperatorSettings& operator_settings_;
-  state::StoreClient* store_;
-  cloud::CloudClient* cloud_;
-  election::Elector* elector_;
-  SchedulerState* scheduler_;
+  void OnClusterChanged();
+  static PendingWork FindPendingWork(const core::Cluster& cluster);
+  void StartPendingWork(const PendingWork& work);
+  [[nodiscard]] bool MayRenewWorkerLeases(double now) const;
+
+  const Dependencies node_;
   const uint64_t term_;
   const wire::VersionPrecondition fence_;
-  const std::function<bool()> isolated_;  // this node has lost the state service and all peers
-  core::LockedCluster locked_cluster_;
-  core::Cluster* const cluster_;  // in locked_cluster_; guarded by scheduler_->mutex once loaded
-  std::unique_ptr<state::Committer> committer_;
-  std::unordered_map<std::string, uint64_t> versions_;
-  std::unordered_map<std::string, std::vector<PendingRequest>> pending_requests_;
+  const double load_started_at_;
+  const std::shared_ptr<core::LockedCluster> cluster_;
+  RecordLoader record_loader_;
+  CloudPoller cloud_poller_;
+  JobRequests job_requests_;
+  std::unique_ptr<state::Committer> committer_;  // null until the records are loaded
   std::set<std::string> peers_acknowledging_term_;
-  bool loaded_ = false;
-  double load_started_ = 0;
-  size_t records_ = 0;
-  double types_at_ = 0;
-  double list_at_ = 0;
-  double summary_at_ = 0;
-  net::EventLoop::Timer tick_;
-  net::EventLoop::Timer load_timer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  double next_summary_ = 0;
+  net::EventLoop::Timer tick_timer_;
+  net::CallbackGuard guard_;
 };
 
 }  // namespace zinclead::service
--- a/src/service/peer_failure_detector.cc
+++ b/src/service/peer_failure_detector.cc
@@ -4,40 +4,31 @@
 
 namespace zinclead::service {
 
-void PeerFailureDetector::OnAnswer(const std::string& peer) { peer_failure_detector_[peer] = {}; }
-
-void PeerFailureDetector::OnFailure(const std::string& peer, double began, bool silent) {
-  Link& link = peer_failure_detector_[peer];
-  if (link.failing_since == 0) link.failing_since = began;
-  if (!silent) {
-    link.silent_since = 0;
-  } else if (link.silent_since == 0) {
-    link.silent_since = began;
+void PeerFailureDetector::OnAnswer(const std::string& peer) { peers_[peer] = {}; }
+
+void PeerFailureDetector::OnFailure(const std::string& peer, double called_at, Failure failure) {
+  PeerStatus& status = peers_[peer];
+  if (status.failing_since == 0) status.failing_since = called_at;
+  if (failure == Failure::kRefused) {
+    status.silent_since = 0;
+  } else if (status.silent_since == 0) {
+    status.silent_since = called_at;
   }
 }
 
 bool PeerFailureDetector::Unreachable(const std::string& peer, double now, double for_s) const {
-  const auto it = peer_failure_detector_.find(peer);
-  return it != peer_failure_detector_.end() && it->second.failing_since > 0 &&
-         now - it->second.failing_since >= for_s;
+  const auto it = peers_.find(peer);
+  if (it == peers_.end()) return false;
+  const double failing_since = it->second.failing_since;
+  return failing_since > 0 && now - failing_since >= for_s;
 }
 
 bool PeerFailureDetector::AllSilent(double now, double for_s) const {
-  return !peer_failure_detector_.empty() &&
-         std::all_of(
-             peer_failure_detector_.begin(), peer_failure_detector_.end(), [&](const auto& entry) {
-               return entry.second.silent_since > 0 && now - entry.second.silent_since >= for_s;
-             });
-}
-
-bool Isolated(const NodeHealth& s) {
-  const bool store_lost = s.leading ? !s.lease_valid : !s.store_reachable;
-  return store_lost && s.peers_silent;
-}
-
-bool Healthy(const NodeHealth& s) {
-  if (Isolated(s)) return false;
-  return s.leading || !(s.leader_known && s.leader_unreachable && s.store_reachable);
+  const auto is_silent = [&](const auto& entry) {
+    const double silent_since = entry.second.silent_since;
+    return silent_since > 0 && now - silent_since >= for_s;
+  };
+  return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), is_silent);
 }
 
 }  // namespace zinclead::service
--- /dev/null
+++ b/src/service/request_router.cc
@@ -0,0 +1,133 @@
+#include "service/request_router.h"
+
+#include <spdlog/spdlog.h>
+
+#include <optional>
+#include <utility>
+#include <variant>
+
+#include "net/event_loop.h"
+#include "wire/peer_messages.h"
+
+namespace zinclead::service {
+
+RequestRouter::RequestRouter(Dependencies dependencies)
+    : node_(std::move(dependencies)), worker_redirects_(node_.settings->lease_s) {}
+
+void RequestRouter::OnPublicRequest(const net::ServerRequest& request,
+                                    const net::ResponderPtr& responder) {
+  if (request.path == wire::kHealthPath) return responder->Send(OnHealthCheck(request.method));
+  const Reply reply = [responder](const net::Response& response) { responder->Send(response); };
+  if (request.path != wire::kHeartbeatPath) return OnUserRequest(request, Origin::kClient, reply);
+  if (request.method != "POST") return reply(MethodNotAllowed());
+  OnHeartbeat(request.body, Origin::kClient, reply);
+}
+
+void RequestRouter::OnPeerRequest(const net::ServerRequest& request,
+                                  const net::ResponderPtr& responder) {
+  if (request.method != "POST") return responder->Send(MethodNotAllowed());
+  if (request.path == wire::kPeerLeaderPath) {
+    return responder->Send(OnLeaderAnnouncement(request.body));
+  }
+  if (request.path == wire::kPeerForwardPath) return OnForwardedRequest(request.body, responder);
+  responder->Send(UnknownPath());
+}
+
+net::Response RequestRouter::OnHealthCheck(const std::string& method) {
+  if (method != "GET") return MethodNotAllowed();
+  if (!IsHealthy(node_.health())) return ServiceUnavailable("this node can't serve now");
+  return {200, 0, "{}"};
+}
+
+net::Response RequestRouter::OnLeaderAnnouncement(const std::string& body) {
+  const auto announcement = wire::ParseLeaderAnnouncement(body);
+  if (!announcement) return BadRequest("malformed notice");
+  node_.elector->OnLeaderAnnouncement(announcement->node, announcement->term);
+  if (!announcement->node.empty()) node_.forwarder->OnLeaderAnnouncement(*announcement);
+  return {200, 0, ToJson(node_.announcer->MakeAnnouncement()).dump()};
+}
+
+void RequestRouter::OnForwardedRequest(const std::string& body,
+                                       const net::ResponderPtr& responder) {
+  auto forwarded = wire::ParseForwardedRequest(body);
+  if (!forwarded) return responder->Send(BadRequest("malformed call"));
+  node_.elector->OnTermSeen(forwarded->term);
+  const Reply reply = [elector = node_.elector, responder](const net::Response& response) {
+    const wire::ForwardedResponse answer{response.status, response.retry_after_s, response.body,
+                                         elector->leader_term()};
+    responder->Send({200, 0, ToJson(answer).dump()});
+  };
+  if (forwarded->path == wire::kHeartbeatPath) {
+    return OnHeartbeat(forwarded->body, Origin::kPeer, reply);
+  }
+  net::ServerRequest request;
+  request.method = std::move(forwarded->method);
+  request.path = std::move(forwarded->path);
+  request.body = std::move(forwarded->body);
+  OnUserRequest(request, Origin::kPeer, reply);
+}
+
+void RequestRouter::OnUserRequest(const net::ServerRequest& http, Origin origin,
+                                  const Reply& reply) {
+  // A record must fit a value of the state service, progress included, which takes a quarter.
+  const size_t max_spec_bytes = node_.settings->ValueBytes() / 2;
+  const auto parsed = ParseUserRequest(http.method, http.path, http.body, max_spec_bytes);
+  if (const auto* response = std::get_if<net::Response>(&parsed)) return reply(*response);
+  const auto& request = std::get<UserRequest>(parsed);
+  if (leader() != nullptr) return leader()->OnUserRequest(request, reply);
+  if (origin == Origin::kPeer) return reply(ServiceUnavailable("not the leader"));
+  ForwardUserRequest(http, request, reply);
+}
+
+void RequestRouter::ForwardUserRequest(const net::ServerRequest& http, const UserRequest& request,
+                                       const Reply& reply) {
+  admission::Request admission_request;
+  if (const auto* submission = std::get_if<Submission>(&request)) {
+    const wire::JobSpec& spec = submission->spec;
+    admission_request = {spec.id, spec.team, admission::TierOf(spec.priority),
+                         node_.admission_limits->CostOf(spec)};
+  } else if (const auto* malformed = std::get_if<MalformedSubmission>(&request)) {
+    // Only the leader knows whether the job was accepted before.
+    admission_request.id = malformed->job_id;
+  } else {
+    return node_.forwarder->Forward({http.method, http.path, ""}, wire::kQueryTimeoutS, reply);
+  }
+  node_.forwarder->ForwardSubmission(admission_request, http.body, reply);
+}
+
+void RequestRouter::OnHeartbeat(const std::string& body, Origin origin, const Reply& reply) {
+  spdlog::debug("heartbeat: {}", body);
+  std::string error;
+  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  if (!heartbeat) {
+    ++malformed_heartbeats_;
+    spdlog::error("malformed heartbeat ({} so far): {}", malformed_heartbeats_, error);
+    return reply(BadRequest(error));
+  }
+  // A worker that has seen a higher term knows of a newer leader before this node does; the elector
+  // then steps down, which ends this node's term.
+  if (leader() != nullptr) node_.elector->OnTermSeen(heartbeat->fencing_token);
+  if (leader() != nullptr) {
+    net::Response response = leader()->OnHeartbeat(*heartbeat);
+    spdlog::debug("heartbeat response: {}", response.body);
+    return reply(std::move(response));
+  }
+  if (origin == Origin::kPeer) return reply(ServiceUnavailable("not the leader"));
+  RedirectOrForwardHeartbeat(heartbeat->machine, body, reply);
+}
+
+void RequestRouter::RedirectOrForwardHeartbeat(const std::string& machine, const std::string& body,
+                                               const Reply& reply) {
+  const std::string& leader_name = node_.elector->leader();
+  if (!node_.peers->Has(leader_name)) return reply(ServiceUnavailable("no leader"));
+  // What an isolated node knows of the leader may be long out of date.
+  if (IsIsolated(node_.health())) return reply(ServiceUnavailable("this node is cut off"));
+  const auto decision = worker_redirects_.OnHeartbeat(machine, net::SteadyNow());
+  if (decision == WorkerRedirects::Decision::kForward) {
+    return node_.forwarder->Forward({"POST", std::string(wire::kHeartbeatPath), body},
+                                    wire::kHeartbeatTimeoutS, reply);
+  }
+  reply({421, 0, wire::RedirectBody(leader_name)});
+}
+
+}  // namespace zinclead::service
--- a/tests/elector_test.cc
+++ b/tests/elector_test.cc
@@ -13,7 +13,6 @@
 #include <set>
 
 #include "fixtures.h"
-#include "service/peer_failure_detector.h"
 
 namespace zinclead::election {
 namespace {
@@ -353,46 +352,3 @@
 
 }  // namespace
 }  // namespace zinclead::election
-
-namespace zinclead::service {
-namespace {
-
-// Users were sent to nodes that could only answer 503, for as long as the trouble lasted.
-TEST(PeerFailureDetector, HealthSaysWhetherTheNodeCanServe) {
-  PeerFailureDetector links;
-  links.Add("a");
-  links.Add("b");
-  EXPECT_FALSE(links.Unreachable("a", 100, 3));
-  links.OnFailure("a", 10, true);
-  EXPECT_FALSE(links.AllSilent(20, 3)) << "b was never called";
-  links.OnFailure("b", 12, true);
-  EXPECT_FALSE(links.AllSilent(14, 3));
-  EXPECT_TRUE(links.AllSilent(15, 3));
-  links.OnFailure("b", 16, false);  // refused: something is there, or a packet filter
-  EXPECT_FALSE(links.AllSilent(30, 3));
-  EXPECT_TRUE(links.Unreachable("b", 30, 3));
-  links.OnAnswer("b");
-  EXPECT_FALSE(links.Unreachable("b", 30, 3));
-
-  NodeHealth s;
-  s.leading = s.lease_valid = true;
-  s.peers_silent = true;
-  EXPECT_TRUE(Healthy(s)) << "it holds the lease, so it serves";
-  s.lease_valid = false;
-  EXPECT_TRUE(Isolated(s));
-  EXPECT_FALSE(Healthy(s));
-  s.peers_silent = false;
-  EXPECT_FALSE(Isolated(s)) << "a common outage: running work is kept up";
-  EXPECT_TRUE(Healthy(s)) << "an outage must not take all nodes out";
-  s = {};
-  EXPECT_TRUE(Healthy(s)) << "nothing is known yet";
-  s.leader_known = s.leader_unreachable = s.store_reachable = true;
-  EXPECT_FALSE(Healthy(s));
-  s.store_reachable = false;  // the leader may be gone, and the outage common
-  EXPECT_TRUE(Healthy(s));
-  s.peers_silent = true;
-  EXPECT_FALSE(Healthy(s)) << "cut off";
-}
-
-}  // namespace
-}  // namespace zinclead::service
