--- /dev/null
+++ b/tests/worker_redirects_test.cc
@@ -0,0 +1,35 @@
+// When a follower redirects a worker to the leader, and when it forwards its heartbeats.
+
+#include "service/worker_redirects.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace zinclead::service {
+namespace {
+
+using Decision = WorkerRedirects::Decision;
+constexpr double kLeaseS = 10;
+
+TEST(WorkerRedirects, AWorkerThatComesBackIsForwardedWhileItKeepsComing) {
+  WorkerRedirects redirects(kLeaseS);
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 0), Decision::kRedirect);
+  EXPECT_EQ(redirects.OnHeartbeat("i-2", 1), Decision::kRedirect);
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 9), Decision::kForward);
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 18), Decision::kForward) << "each time counts anew";
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 28), Decision::kRedirect) << "a lease without it";
+}
+
+TEST(WorkerRedirects, ForgetsAllBeforeItGrowsWithoutEnd) {
+  WorkerRedirects redirects(kLeaseS);
+  for (int i = 0; i <= 10'000; ++i) {
+    EXPECT_EQ(redirects.OnHeartbeat("i-" + std::to_string(i), 0), Decision::kRedirect);
+  }
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 0), Decision::kForward);
+  EXPECT_EQ(redirects.OnHeartbeat("one more", 0), Decision::kRedirect);
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 0), Decision::kRedirect);
+}
+
+}  // namespace
+}  // namespace zinclead::service
