--- a/bench/core_benchmark.cc
+++ b/bench/core_benchmark.cc
@@ -28,8 +28,7 @@
   fleet.BackfillMachine();
   const std::string body = fleet.NextReport(0);
   for (auto _ : state) {
-    std::string error;
-    benchmark::DoNotOptimize(wire::ParseHeartbeat(body, &error));
+    benchmark::DoNotOptimize(wire::ParseHeartbeat(body));
   }
   state.counters["bytes"] = static_cast<double>(body.size());
 }
@@ -44,8 +43,7 @@
     state.PauseTiming();
     const std::string body = fleet.NextReport(next);
     state.ResumeTiming();
-    std::string error;
-    const auto heartbeat = wire::ParseHeartbeat(body, &error);
+    const auto heartbeat = wire::ParseHeartbeat(body);
     const auto result = fleet.cluster().OnHeartbeat(*heartbeat, fleet.now());
     benchmark::DoNotOptimize(wire::CommandsBody(1, result.commands));
     next = (next + 1) % fleet.machine_count();
--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -159,8 +159,7 @@
 
 std::string SimulatedFleet::Heartbeat(size_t machine) {
   const std::string body = NextReport(machine);
-  std::string error;
-  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  const auto heartbeat = wire::ParseHeartbeat(body);
   const auto result = cluster_->OnHeartbeat(*heartbeat, now_);
   workers_[machine].heartbeat.fencing_token = kTerm;
   Execute(&workers_[machine], result.commands);
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -45,8 +45,11 @@
        [this, done = std::move(done)](const net::Response& response) {
          if (response.status != 200) return done(std::nullopt);
          auto types = wire::ParseMachineTypes(response.body);
-         if (!types) Malformed("machine types");
-         done(std::move(types));
+         if (!types) {
+           Malformed("machine types");
+           return done(std::nullopt);
+         }
+         done(std::move(*types));
        });
 }
 
--- a/src/core/records.cc
+++ b/src/core/records.cc
@@ -66,8 +66,7 @@
     finished_[id] = {FinalState::kDone, value.value("tasks", 0U)};
     return true;
   }
-  std::string error;
-  auto spec = wire::JobSpecFromJson(value.value("spec", Json()), &error);
+  auto spec = wire::JobSpecFromJson(value.value("spec", Json()));
   if (!spec || spec->id != id) return false;
   const int64_t accepted_ms = value.value("accepted_ms", int64_t{0});
   auto job = NewJob(*spec, accepted_ms, static_cast<double>(accepted_ms) / 1000 - wall_offset_);
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -249,16 +249,15 @@
                              const std::string& body, bool forwarded, const Reply& reply) {
   if (path == wire::kJobsPath) {
     if (method != "POST") return reply(WrongMethod());
-    std::string error;
-    auto spec = wire::ParseSubmission(body, &error);
+    auto spec = wire::ParseSubmission(body);
     // A record must fit a value of the state service, its done tasks included: these take a
     // quarter.
     if (spec && wire::ToJson(*spec).dump().size() > settings_.ValueBytes() / 2) {
-      error = "the texts in it are too long";
-      spec.reset();
+      spec = wire::ParseFailure("", "the texts in it are too long");
     }
     if (!spec) {
       // An accepted job is never refused, however its submission is repeated: the leader knows.
+      const std::string error = spec.error().ToString();
       const auto id = wire::SubmissionId(body);
       if (!id) return reply(BadRequest(error));
       if (leader_ != nullptr) return leader_->SubmitMalformed(*id, error, reply);
@@ -310,11 +309,11 @@
 }
 
 void Node::HandleHeartbeat(const std::string& body, bool forwarded, const Reply& reply) {
-  std::string error;
   spdlog::debug("report: {}", body);
-  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  const auto heartbeat = wire::ParseHeartbeat(body);
   if (!heartbeat) {
     ++malformed_heartbeats_;
+    const std::string error = heartbeat.error().ToString();
     spdlog::error("malformed report ({} so far): {}", malformed_heartbeats_, error);
     return reply(BadRequest(error));
   }
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -83,7 +83,7 @@
            return done(Outcome::kUnknown, std::nullopt, 0);
          }
          const uint64_t version = item->version;
-         done(Outcome::kOk, std::move(item), version);
+         done(Outcome::kOk, std::move(*item), version);
        });
 }
 
--- a/src/wire/heartbeat_reader.cc
+++ b/src/wire/heartbeat_reader.cc
@@ -3,71 +3,77 @@
 #include <cmath>
 #include <utility>
 
+#include "wire/field_names.h"
 #include "wire/labels.h"
 
 namespace zinclead::wire {
 namespace {
 
-constexpr size_t kMaxText = 1024;
-constexpr size_t kMaxMachineName = 100;
+constexpr size_t kMaxTextBytes = 1024;
+constexpr size_t kMaxMachineNameBytes = 100;
+
+// Prefixes the errors that are found within the list of tasks.
+std::string InTaskList(const std::string& text) { return std::string(field::kTasks) + ": " + text; }
 
 }  // namespace
 
-struct HeartbeatReader::FieldName {
+struct HeartbeatReader::FieldInfo {
   Field field;
   const char* name;
-  PlaceTask place;
+  Place place;
   bool required;
 };
 
-HeartbeatReader::Field HeartbeatReader::FindField(PlaceTask place, const std::string& name) {
-  for (const FieldName& known : Names()) {
+const std::array<HeartbeatReader::FieldInfo, HeartbeatReader::kFieldCount - 1>&
+HeartbeatReader::Fields() {
+  static constexpr std::array<FieldInfo, kFieldCount - 1> kFields{{
+      {Field::kMachine, field::kMachine, Place::kHeartbeat, true},
+      {Field::kAddress, field::kAddress, Place::kHeartbeat, true},
+      {Field::kMachineType, field::kMachineType, Place::kHeartbeat, true},
+      {Field::kZone, field::kZone, Place::kHeartbeat, true},
+      {Field::kSpot, field::kSpot, Place::kHeartbeat, true},
+      {Field::kAgentEpoch, field::kAgentEpoch, Place::kHeartbeat, true},
+      {Field::kSequence, field::kSequence, Place::kHeartbeat, true},
+      {Field::kFencingToken, field::kFencingToken, Place::kHeartbeat, true},
+      {Field::kNotice, field::kNoticeS, Place::kHeartbeat, false},
+      {Field::kTasks, field::kTasks, Place::kHeartbeat, true},
+      {Field::kTaskName, field::kTask, Place::kTask, true},
+      {Field::kAttempt, field::kAttempt, Place::kTask, true},
+      {Field::kPhase, field::kPhase, Place::kTask, true},
+      {Field::kCause, field::kCause, Place::kTask, false},
+      {Field::kSaved, field::kSaved, Place::kTask, false},
+  }};
+  return kFields;
+}
+
+HeartbeatReader::Field HeartbeatReader::FindField(Place place, const std::string& name) {
+  for (const FieldInfo& known : Fields()) {
     if (known.place == place && name == known.name) return known.field;
   }
   return Field::kUnknown;
 }
 
 const char* HeartbeatReader::NameOf(Field field) {
-  for (const FieldName& known : Names()) {
+  for (const FieldInfo& known : Fields()) {
     if (known.field == field) return known.name;
   }
   return "";
 }
 
-const std::array<HeartbeatReader::FieldName, 15>& HeartbeatReader::Names() {
-  static constexpr std::array<FieldName, 15> kNames{{
-      {Field::kMachine, "anvil", PlaceTask::kReport, true},
-      {Field::kAddress, "address", PlaceTask::kReport, true},
-      {Field::kType, "alloy", PlaceTask::kReport, true},
-      {Field::kZone, "yard", PlaceTask::kReport, true},
-      {Field::kSpot, "scrap", PlaceTask::kReport, true},
-      {Field::kSession, "heat", PlaceTask::kReport, true},
-      {Field::kSeq, "tally", PlaceTask::kReport, true},
-      {Field::kToken, "mandate", PlaceTask::kReport, true},
-      {Field::kNotice, "recallS", PlaceTask::kReport, false},
-      {Field::kTasks, "shards", PlaceTask::kReport, true},
-      {Field::kTaskName, "shard", PlaceTask::kTask, true},
-      {Field::kAttempt, "strike", PlaceTask::kTask, true},
-      {Field::kPhase, "phase", PlaceTask::kTask, true},
-      {Field::kCause, "cause", PlaceTask::kTask, false},
-      {Field::kSaved, "kept", PlaceTask::kTask, false},
-  }};
-  return kNames;
-}
+// ---------------------------------------------------------------------------------------------
+// Errors
 
-bool HeartbeatReader::FailText(std::string what) {
-  if (error_.empty()) error_ = std::move(what);
+bool HeartbeatReader::Fail(Field field, const char* reason) {
+  const char* name = NameOf(field);
+  if (!error_) error_ = ParseError{place_ == Place::kTask ? InTaskList(name) : name, reason};
   return false;
 }
 
-bool HeartbeatReader::Fail(Field field, const char* what) {
-  const std::string in = place_ == PlaceTask::kTask ? "shards: " : "";
-  return FailText(in + NameOf(field) + " " + what);
+bool HeartbeatReader::Fail(std::string reason) {
+  if (!error_) error_ = ParseError{"", std::move(reason)};
+  return false;
 }
 
-// ---------------------------------------------------------------------------------------------
-// Values
-
 bool HeartbeatReader::WrongType() {
   switch (field_) {
     case Field::kUnknown:
@@ -78,9 +84,9 @@
       return true;
     case Field::kSpot:
       return Fail(field_, "must be true or false");
-    case Field::kSession:
-    case Field::kSeq:
-    case Field::kToken:
+    case Field::kAgentEpoch:
+    case Field::kSequence:
+    case Field::kFencingToken:
     case Field::kAttempt:
       return Fail(field_, "must be a non-negative integer");
     case Field::kNotice:
@@ -92,57 +98,74 @@
   }
 }
 
-bool HeartbeatReader::SetText(std::string* value) {
-  std::string* target = nullptr;
+bool HeartbeatReader::CheckInsideObject() {
+  if (place_ == Place::kOutside) return Fail("not a JSON object");
+  if (place_ == Place::kTaskList) return Fail(InTaskList("not a JSON object"));
+  return true;
+}
+
+bool HeartbeatReader::CheckRequired(Place place) {
+  for (const FieldInfo& known : Fields()) {
+    if (known.place != place || !known.required) continue;
+    if (!seen_.test(static_cast<size_t>(known.field))) return Fail(known.field, "is missing");
+  }
+  return true;
+}
+
+// ---------------------------------------------------------------------------------------------
+// Values
+
+std::string* HeartbeatReader::StringTarget() {
   switch (field_) {
     case Field::kMachine:
-      target = &heartbeat_.machine;
-      break;
+      return &heartbeat_.machine;
     case Field::kAddress:
-      target = &heartbeat_.address;
-      break;
-    case Field::kType:
-      target = &heartbeat_.type;
-      break;
+      return &heartbeat_.address;
+    case Field::kMachineType:
+      return &heartbeat_.type;
     case Field::kZone:
-      target = &heartbeat_.zone;
-      break;
+      return &heartbeat_.zone;
     case Field::kTaskName:
-      target = &task_name_;
-      break;
+      return &task_name_;
     case Field::kPhase:
-      target = &phase_;
-      break;
+      return &phase_;
     case Field::kCause:
-      target = &cause_;
-      break;
+      return &cause_;
     default:
-      return WrongType();
+      return nullptr;
   }
-  if (value->size() > kMaxText && field_ != Field::kCause) return Fail(field_, "is too long");
-  *target = *value;
-  seen_.set(static_cast<size_t>(field_));
-  return true;
 }
 
-bool HeartbeatReader::SetCount(uint64_t value) {
+uint64_t* HeartbeatReader::UnsignedTarget() {
   switch (field_) {
-    case Field::kSession:
-      heartbeat_.agent_epoch = value;
-      break;
-    case Field::kSeq:
-      heartbeat_.sequence = value;
-      break;
-    case Field::kToken:
-      heartbeat_.fencing_token = value;
-      break;
+    case Field::kAgentEpoch:
+      return &heartbeat_.agent_epoch;
+    case Field::kSequence:
+      return &heartbeat_.sequence;
+    case Field::kFencingToken:
+      return &heartbeat_.fencing_token;
     case Field::kAttempt:
-      task_.attempt = value;
-      break;
+      return &task_.attempt;
     default:
-      return SetAmount(static_cast<double>(value));
+      return nullptr;
   }
-  seen_.set(static_cast<size_t>(field_));
+}
+
+bool HeartbeatReader::SetString(const std::string& value) {
+  std::string* target = StringTarget();
+  if (target == nullptr) return WrongType();
+  // A cause that is too long is an unknown one.
+  if (value.size() > kMaxTextBytes && field_ != Field::kCause) return Fail(field_, "is too long");
+  *target = value;
+  MarkSeen(field_);
+  return true;
+}
+
+bool HeartbeatReader::SetUnsigned(uint64_t value) {
+  uint64_t* target = UnsignedTarget();
+  if (target == nullptr) return SetAmount(static_cast<double>(value));
+  *target = value;
+  MarkSeen(field_);
   return true;
 }
 
@@ -153,23 +176,17 @@
   return true;
 }
 
-bool HeartbeatReader::HasField() {
-  if (place_ == PlaceTask::kOutside) return FailText("not a JSON object");
-  if (place_ == PlaceTask::kTasks) return FailText("shards: not a JSON object");
-  return true;
-}
-
 bool HeartbeatReader::null() {
   if (Skipping()) return true;
-  if (!HasField()) return false;
-  seen_.reset(static_cast<size_t>(field_));
+  if (!CheckInsideObject()) return false;
+  MarkMissing(field_);
   if (field_ == Field::kNotice) heartbeat_.notice_s.reset();
   return true;
 }
 
 bool HeartbeatReader::boolean(bool value) {
   if (Skipping()) return true;
-  if (!HasField()) return false;
+  if (!CheckInsideObject()) return false;
   if (field_ == Field::kSpot) {
     heartbeat_.spot = value;
   } else if (field_ == Field::kSaved) {
@@ -177,53 +194,42 @@
   } else {
     return WrongType();
   }
-  seen_.set(static_cast<size_t>(field_));
+  MarkSeen(field_);
   return true;
 }
 
 bool HeartbeatReader::number_integer(int64_t value) {
   if (Skipping()) return true;
-  if (!HasField()) return false;
-  return SetAmount(static_cast<double>(value));
+  return CheckInsideObject() && SetAmount(static_cast<double>(value));
 }
 
 bool HeartbeatReader::number_unsigned(uint64_t value) {
   if (Skipping()) return true;
-  if (!HasField()) return false;
-  return SetCount(value);
+  return CheckInsideObject() && SetUnsigned(value);
 }
 
 bool HeartbeatReader::number_float(double value, const std::string& /*text*/) {
   if (Skipping()) return true;
-  if (!HasField()) return false;
-  return SetAmount(value);
+  return CheckInsideObject() && SetAmount(value);
 }
 
 bool HeartbeatReader::string(std::string& value) {
   if (Skipping()) return true;
-  if (!HasField()) return false;
-  return SetText(&value);
+  return CheckInsideObject() && SetString(value);
 }
 
-bool HeartbeatReader::binary(Json::binary_t& /*value*/) { return FailText("not a JSON object"); }
+bool HeartbeatReader::binary(Json::binary_t& /*value*/) { return Fail("not a JSON object"); }
 
 // ---------------------------------------------------------------------------------------------
 // Structure
 
 bool HeartbeatReader::start_object(size_t /*size*/) {
-  if (!Skipping() && place_ == PlaceTask::kOutside) {
-    place_ = PlaceTask::kReport;
+  if (!Skipping() && place_ == Place::kOutside) {
+    place_ = Place::kHeartbeat;
     return true;
   }
-  if (!Skipping() && place_ == PlaceTask::kTasks) {
-    place_ = PlaceTask::kTask;
-    task_ = {};
-    task_name_.clear();
-    phase_.clear();
-    cause_.clear();
-    for (const FieldName& known : Names()) {
-      if (known.place == PlaceTask::kTask) seen_.reset(static_cast<size_t>(known.field));
-    }
+  if (!Skipping() && place_ == Place::kTaskList) {
+    BeginTask();
     return true;
   }
   if (!Skipping() && !WrongType()) return false;
@@ -241,15 +247,15 @@
     --skipped_depth_;
     return true;
   }
-  if (place_ == PlaceTask::kTask) return FinishTask();
-  place_ = PlaceTask::kOutside;
+  if (place_ == Place::kTask) return FinishTask();
+  place_ = Place::kOutside;
   return true;
 }
 
 bool HeartbeatReader::start_array(size_t /*size*/) {
-  if (!Skipping() && !HasField()) return false;
-  if (!Skipping() && place_ == PlaceTask::kReport && field_ == Field::kTasks) {
-    place_ = PlaceTask::kTasks;
+  if (!Skipping() && !CheckInsideObject()) return false;
+  if (!Skipping() && place_ == Place::kHeartbeat && field_ == Field::kTasks) {
+    place_ = Place::kTaskList;
     heartbeat_.tasks.clear();
     return true;
   }
@@ -263,47 +269,52 @@
     --skipped_depth_;
     return true;
   }
-  place_ = PlaceTask::kReport;
-  seen_.set(static_cast<size_t>(Field::kTasks));
+  place_ = Place::kHeartbeat;
+  MarkSeen(Field::kTasks);
   return true;
 }
 
 bool HeartbeatReader::parse_error(size_t /*position*/, const std::string& /*token*/,
                                   const Json::exception& /*error*/) {
-  return FailText("not a JSON object");
+  return Fail("not a JSON object");
 }
 
-bool HeartbeatReader::SawRequired(PlaceTask place) {
-  for (const FieldName& known : Names()) {
-    if (known.place != place || !known.required) continue;
-    if (!seen_.test(static_cast<size_t>(known.field))) return Fail(known.field, "is missing");
+void HeartbeatReader::BeginTask() {
+  place_ = Place::kTask;
+  task_ = {};
+  task_name_.clear();
+  phase_.clear();
+  cause_.clear();
+  for (const FieldInfo& known : Fields()) {
+    if (known.place == Place::kTask) MarkMissing(known.field);
   }
-  return true;
 }
 
 bool HeartbeatReader::FinishTask() {
-  if (!SawRequired(PlaceTask::kTask)) return false;
-  place_ = PlaceTask::kTasks;
+  if (!CheckRequired(Place::kTask)) return false;
+  place_ = Place::kTaskList;
   auto ref = ParseTaskName(task_name_);
-  if (!ref) return FailText("shards: bad task name");
+  if (!ref) return Fail(InTaskList("bad task name"));
   task_.task = std::move(*ref);
   // A word that is not known: the task may still run.
   task_.phase = FromLabel(kTaskPhases, phase_).value_or(TaskPhase::kRunning);
   if (task_.phase == TaskPhase::kEnded) {
-    // A cause that is not known must not cost the whole report: the task has ended all the same.
+    // A cause that is not known must not cost the whole heartbeat: the task has ended all the same.
     task_.cause = FromLabel(kCauses, cause_).value_or(EndCause::kOther);
   }
   heartbeat_.tasks.push_back(std::move(task_));
   return true;
 }
 
-bool HeartbeatReader::Finish(bool parsed) {
-  if (!parsed) return FailText("not a JSON object");
-  if (!SawRequired(PlaceTask::kReport)) return false;
-  if (heartbeat_.machine.empty() || heartbeat_.machine.size() > kMaxMachineName) {
-    return Fail(Field::kMachine, "is empty or too long");
+ParseResult<Heartbeat> HeartbeatReader::Finish(bool parsed) {
+  if (!parsed) {
+    Fail("not a JSON object");
+  } else if (CheckRequired(Place::kHeartbeat) &&
+             (heartbeat_.machine.empty() || heartbeat_.machine.size() > kMaxMachineNameBytes)) {
+    Fail(Field::kMachine, "is empty or too long");
   }
-  return error_.empty();
+  if (error_) return tl::unexpected<ParseError>(std::move(*error_));
+  return std::move(heartbeat_);
 }
 
 }  // namespace zinclead::wire
--- a/src/wire/json_reader.h
+++ b/src/wire/json_reader.h
@@ -3,7 +3,6 @@
 #define ZINCLEAD_WIRE_JSON_READER_H_
 
 #include <array>
-#include <cmath>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -11,117 +10,94 @@
 #include <utility>
 #include <vector>
 
+#include "wire/json.h"
 #include "wire/labels.h"
-#include "wire/wire.h"
+#include "wire/parse_error.h"
 
 namespace zinclead::wire {
 
-// A discarded value if the text is not JSON.
-inline Json ParseJson(std::string_view body) {
-  return Json::parse(body, nullptr, /*allow_exceptions=*/false);
-}
-
-// The first failure is kept; later reads are no-ops, so callers check once at the end.
-class Reader {
+// Each method reads one field into its output parameter. A field that is null counts as missing;
+// "Optional" methods accept that. The first error is kept and later reads do nothing, so callers
+// check once at the end, with Finish(); after an error, the outputs are unspecified.
+class JsonReader {
  public:
-  explicit Reader(const Json& json) : json_(json) {
-    if (!json.is_object()) Fail("not a JSON object");
-  }
+  static constexpr size_t kMaxStringBytes = 1024;
 
-  bool ok() const { return error_.empty(); }
-  const std::string& error() const { return error_; }
+  // Keeps a reference to `json`, which must outlive the reader.
+  explicit JsonReader(const Json& json);
 
-  void String(const char* name, std::string* out, size_t max = 1024) {
-    const Json* v = Find(name, true);
-    if (v == nullptr) return;
-    if (!v->is_string()) return Fail(name, "must be a string");
-    *out = v->get_ref<const std::string&>();
-    if (out->size() > max) Fail(name, "is too long");
-  }
-  void Amount(const char* name, double* out) {
-    const Json* v = Find(name, true);
-    if (v != nullptr) AmountOf(name, *v, out);
-  }
-  void OptionalAmount(const char* name, std::optional<double>* out) {
-    const Json* v = Find(name, false);
-    if (v == nullptr) return;
-    double amount = 0;
-    AmountOf(name, *v, &amount);
-    *out = amount;
+  [[nodiscard]] bool ok() const { return !error_; }
+  // The value, or the first error.
+  template <typename T>
+  [[nodiscard]] ParseResult<T> Finish(T value) const {
+    if (error_) return tl::unexpected<ParseError>(*error_);
+    return value;
   }
-  void Bool(const char* name, bool* out) {
-    const Json* v = Find(name, true);
-    if (v == nullptr) return;
-    if (!v->is_boolean()) return Fail(name, "must be true or false");
-    *out = v->get<bool>();
-  }
-  void Unsigned(const char* name, uint64_t* out) {
-    const Json* v = Find(name, true);
-    if (v == nullptr) return;
-    // The parser reads every non-negative integer below 2^64 as unsigned.
-    if (!v->is_number_unsigned()) return Fail(name, "must be a non-negative integer");
-    *out = v->get<uint64_t>();
-  }
-  void OptionalStrings(const char* name, std::optional<std::vector<std::string>>* out) {
-    const Json* v = Find(name, false);
-    if (v == nullptr) return;
-    if (!v->is_array()) return Fail(name, "must be a list");
-    out->emplace();
-    for (const Json& item : *v) {
-      if (!item.is_string()) return Fail(name, "must be a list of strings");
-      (*out)->push_back(item.get<std::string>());
-    }
-  }
-  void OptionalString(const char* name, std::optional<std::string>* out) {
-    if (Find(name, false) == nullptr) return;
-    std::string text;
-    String(name, &text);
-    *out = text;
+  // The first error. Requires !ok().
+  [[nodiscard]] tl::unexpected<ParseError> Failure() const {
+    return tl::unexpected<ParseError>(*error_);
   }
+
+  void String(const char* name, std::string* out, size_t max_bytes = kMaxStringBytes);
+  void OptionalString(const char* name, std::optional<std::string>* out);
+  void OptionalStrings(const char* name, std::optional<std::vector<std::string>>* out);
+  // A finite number that is not negative.
+  void Amount(const char* name, double* out);
+  void OptionalAmount(const char* name, std::optional<double>* out);
+  void Bool(const char* name, bool* out);
+  // An integer from 0 to 2^64 - 1.
+  void Unsigned(const char* name, uint64_t* out);
+  // One of the words of `labels`.
   template <typename E, size_t N>
-  void Enum(const char* name, const std::array<std::pair<const char*, E>, N>& values, E* out) {
-    const Json* v = Find(name, true);
-    if (v == nullptr) return;
-    if (!v->is_string()) return Fail(name, "must be a string");
-    const std::optional<E> value = FromLabel(values, v->get_ref<const std::string&>());
-    if (!value) return Fail(name, "has an unknown value");
-    *out = *value;
-  }
-  const Json* Array(const char* name) {
-    const Json* v = Find(name, true);
-    if (v == nullptr) return nullptr;
-    if (!v->is_array()) {
-      Fail(name, "must be a list");
-      return nullptr;
-    }
-    return v;
-  }
-  void Fail(const char* name, const char* what) { Fail(std::string(name) + " " + what); }
-  void Fail(std::string what) {
-    if (error_.empty()) error_ = std::move(what);
+  void Enum(const char* name, const std::array<std::pair<const char*, E>, N>& labels, E* out) {
+    const Json* value = FindString(name);
+    if (value == nullptr) return;
+    const std::optional<E> known = FromLabel(labels, value->get_ref<const std::string&>());
+    if (!known) return Fail(name, "has an unknown value");
+    *out = *known;
   }
+  // The list, or null if it is invalid.
+  [[nodiscard]] const Json* Array(const char* name);
+
+  // Records an error that the caller found, unless there is one already.
+  void Fail(std::string field, std::string reason);
 
  private:
-  // A missing field and null are the same.
-  const Json* Find(const char* name, bool required) {
-    if (!ok()) return nullptr;
-    auto it = json_.find(name);
-    if (it == json_.end() || it->is_null()) {
-      if (required) Fail(name, "is missing");
-      return nullptr;
-    }
-    return &*it;
-  }
-  void AmountOf(const char* name, const Json& v, double* out) {
-    if (!v.is_number()) return Fail(name, "must be a number");
-    *out = v.get<double>();
-    if (!std::isfinite(*out) || *out < 0) Fail(name, "must be finite and not negative");
-  }
+  // The value, or null if it is missing, which for the other two is an error.
+  const Json* Optional(const char* name) const;
+  const Json* Required(const char* name);
+  const Json* FindString(const char* name);
+  void ReadAmount(const char* name, const Json& value, double* out);
 
   const Json& json_;
-  std::string error_;
+  std::optional<ParseError> error_;
 };
 
+// Parses `body`, an object whose field `name` is a list, with `parse_item` for each of its items.
+// Fails with the first item's error.
+template <typename T, typename ParseItem>
+[[nodiscard]] ParseResult<std::vector<T>> ParseList(std::string_view body, const char* name,
+                                                    ParseItem&& parse_item) {
+  const Json json = ParseJson(body);
+  JsonReader reader(json);
+  const Json* list = reader.Array(name);
+  if (list == nullptr) return reader.Failure();
+  std::vector<T> items;
+  items.reserve(list->size());
+  for (const Json& entry : *list) {
+    ParseResult<T> item = parse_item(entry);
+    if (!item) return tl::unexpected<ParseError>(std::move(item.error()));
+    items.push_back(std::move(*item));
+  }
+  return items;
+}
+
+// Parses an item of a list of strings.
+[[nodiscard]] ParseResult<std::string> StringFromJson(const Json& json);
+
+// Whether `json` is the body of an error answer with exactly that text.
+[[nodiscard]] bool HasError(const Json& json, std::string_view text);
+
 }  // namespace zinclead::wire
 
 #endif  // ZINCLEAD_WIRE_JSON_READER_H_
--- a/src/wire/labels.h
+++ b/src/wire/labels.h
@@ -1,4 +1,5 @@
-// The words that stand for enumerations on the wire.
+// The one table of the words that stand for enumerations on the wire. The names of fields are in
+// wire/field_names.h.
 #ifndef ZINCLEAD_WIRE_LABELS_H_
 #define ZINCLEAD_WIRE_LABELS_H_
 
@@ -7,7 +8,9 @@
 #include <string_view>
 #include <utility>
 
-#include "wire/wire.h"
+#include "wire/cloud_api.h"
+#include "wire/user_api.h"
+#include "wire/worker_api.h"
 
 namespace zinclead::wire {
 
@@ -18,6 +21,11 @@
      {"high", Priority::kHigh},
      {"standard", Priority::kNormal},
      {"best_effort", Priority::kLow}}};
+inline constexpr std::array<std::pair<const char*, JobPhase>, 4> kJobPhases{
+    {{"pending", JobPhase::kPending},
+     {"running", JobPhase::kRunning},
+     {"done", JobPhase::kDone},
+     {"cancelled", JobPhase::kCancelled}}};
 inline constexpr std::array<std::pair<const char*, TaskPhase>, 5> kTaskPhases{
     {{"running", TaskPhase::kRunning},
      {"fetching", TaskPhase::kFetching},
@@ -33,23 +41,29 @@
      {"no_such", EndCause::kUnknownTask},
      {"peers", EndCause::kPeers},
      {"incomplete", EndCause::kIncomplete}}};
+inline constexpr std::array<std::pair<const char*, CommandOp>, 3> kCommandOps{
+    {{"run", CommandOp::kStart},
+     {"halt", CommandOp::kStop},
+     {"clear", CommandOp::kAcknowledgeCompletion}}};
 inline constexpr std::array<std::pair<const char*, ListedState>, 3> kListedStates{
     {{"booting", ListedState::kBooting},
      {"running", ListedState::kRunning},
      {"failed", ListedState::kFailed}}};
 
+// The word for `value`, or "" if the table has none.
 template <typename E, size_t N>
-const char* Label(const std::array<std::pair<const char*, E>, N>& values, E value) {
-  for (const auto& [label, v] : values) {
-    if (v == value) return label;
+[[nodiscard]] const char* Label(const std::array<std::pair<const char*, E>, N>& labels, E value) {
+  for (const auto& [label, labelled] : labels) {
+    if (labelled == value) return label;
   }
   return "";
 }
 
+// The value that `text` stands for, or nullopt if the table does not have the word.
 template <typename E, size_t N>
-std::optional<E> FromLabel(const std::array<std::pair<const char*, E>, N>& values,
-                           std::string_view text) {
-  for (const auto& [label, value] : values) {
+[[nodiscard]] std::optional<E> FromLabel(const std::array<std::pair<const char*, E>, N>& labels,
+                                         std::string_view text) {
+  for (const auto& [label, value] : labels) {
     if (text == label) return value;
   }
   return std::nullopt;
--- a/src/wire/peer_messages.cc
+++ b/src/wire/peer_messages.cc
@@ -2,44 +2,55 @@
 
 #include <utility>
 
+#include "wire/field_names.h"
 #include "wire/json_reader.h"
+#include "wire/user_api.h"
 
 namespace zinclead::wire {
 namespace {
 
-// Texts of a grant's filters are never longer than this.
+// Texts of a grant's filters are never longer than this, in bytes.
 constexpr size_t kMaxFilterText = size_t{32} * 1024;
+// A user's or worker's body is within kMaxBody; escaped for the message, it may be longer.
+constexpr size_t kMaxForwardedRequestBody = 2 * kMaxBody;
+constexpr size_t kMaxForwardedResponseBody = 4 * kMaxBody;
 
-Json CreditGrantToJson(const CreditGrant& grant) {
-  Json json = {{"limited", grant.limited}};
+constexpr uint64_t kMinHttpStatus = 200;
+constexpr uint64_t kMaxHttpStatus = 599;
+
+Json ToJson(const CreditGrant& grant) {
+  Json json = {{peer_field::kLimited, grant.limited}};
   if (!grant.limited) return json;
-  json["by_tier"] = grant.by_tier;
-  json["turns"] = grant.reservations;
-  json["accepted"] = grant.accepted;
+  json[peer_field::kCreditsByTier] = grant.by_tier;
+  json[peer_field::kReservations] = grant.reservations;
+  json[peer_field::kAccepted] = grant.accepted;
   return json;
 }
 
-bool ReadTeams(const Json& teams, std::map<std::string, uint64_t>* out) {
-  if (!teams.is_object()) return false;
-  for (const auto& [team, count] : teams.items()) {
-    if (!count.is_number_unsigned()) return false;
-    (*out)[team] = count.get<uint64_t>();
+ParseResult<std::map<std::string, uint64_t>> CreditsByTeamFromJson(const Json& json) {
+  constexpr const char* kReason = "must hold non-negative integers by team";
+  if (!json.is_object()) return ParseFailure(peer_field::kCreditsByTier, kReason);
+  std::map<std::string, uint64_t> credits;
+  for (const auto& [team, count] : json.items()) {
+    if (!count.is_number_unsigned()) return ParseFailure(peer_field::kCreditsByTier, kReason);
+    credits[team] = count.get<uint64_t>();
   }
-  return true;
+  return credits;
 }
 
-std::optional<CreditGrant> ReadCreditGrant(const Json& json) {
+ParseResult<CreditGrant> CreditGrantFromJson(const Json& json) {
   CreditGrant grant;
-  Reader reader(json);
-  reader.Bool("limited", &grant.limited);
-  if (!reader.ok()) return std::nullopt;
-  if (!grant.limited) return grant;
-  reader.String("turns", &grant.reservations, kMaxFilterText);
-  reader.String("accepted", &grant.accepted, kMaxFilterText);
-  const Json* tiers = reader.Array("by_tier");
-  if (!reader.ok()) return std::nullopt;
-  for (const Json& teams : *tiers) {
-    if (!ReadTeams(teams, &grant.by_tier.emplace_back())) return std::nullopt;
+  JsonReader reader(json);
+  reader.Bool(peer_field::kLimited, &grant.limited);
+  if (!reader.ok() || !grant.limited) return reader.Finish(std::move(grant));
+  reader.String(peer_field::kReservations, &grant.reservations, kMaxFilterText);
+  reader.String(peer_field::kAccepted, &grant.accepted, kMaxFilterText);
+  const Json* tiers = reader.Array(peer_field::kCreditsByTier);
+  if (!reader.ok()) return reader.Failure();
+  for (const Json& tier : *tiers) {
+    auto credits = CreditsByTeamFromJson(tier);
+    if (!credits) return tl::unexpected<ParseError>(std::move(credits.error()));
+    grant.by_tier.push_back(std::move(*credits));
   }
   return grant;
 }
@@ -47,65 +58,65 @@
 }  // namespace
 
 Json ToJson(const ForwardedRequest& request) {
-  return {{"method", request.method},
-          {"path", request.path},
-          {"body", request.body},
-          {"term", request.term}};
+  return {{peer_field::kMethod, request.method},
+          {peer_field::kPath, request.path},
+          {peer_field::kBody, request.body},
+          {peer_field::kTerm, request.term}};
 }
 
 Json ToJson(const ForwardedResponse& response) {
-  return {{"status", response.status},
-          {"retry_after_s", response.retry_after_s},
-          {"body", response.body},
-          {"term", response.term}};
+  return {{peer_field::kStatus, response.status},
+          {peer_field::kRetryAfterS, response.retry_after_s},
+          {peer_field::kBody, response.body},
+          {peer_field::kTerm, response.term}};
 }
 
-Json ToJson(const LeaderAnnouncement& notice) {
-  Json json = {{"node", notice.node}, {"term", notice.term}};
-  if (notice.credits) json["credits"] = CreditGrantToJson(*notice.credits);
+Json ToJson(const LeaderAnnouncement& announcement) {
+  Json json = {{peer_field::kNode, announcement.node}, {peer_field::kTerm, announcement.term}};
+  if (announcement.credits) json[peer_field::kCredits] = ToJson(*announcement.credits);
   return json;
 }
 
-std::optional<ForwardedRequest> ParseForwardedRequest(std::string_view body) {
+ParseResult<ForwardedRequest> ParseForwardedRequest(std::string_view body) {
   const Json json = ParseJson(body);
   ForwardedRequest request;
-  Reader reader(json);
-  reader.String("method", &request.method);
-  reader.String("path", &request.path);
-  reader.String("body", &request.body, 2 * kMaxBody);
-  reader.Unsigned("term", &request.term);
-  if (!reader.ok()) return std::nullopt;
-  return request;
+  JsonReader reader(json);
+  reader.String(peer_field::kMethod, &request.method);
+  reader.String(peer_field::kPath, &request.path);
+  reader.String(peer_field::kBody, &request.body, kMaxForwardedRequestBody);
+  reader.Unsigned(peer_field::kTerm, &request.term);
+  return reader.Finish(std::move(request));
 }
 
-std::optional<ForwardedResponse> ParseForwardedResponse(std::string_view body) {
+ParseResult<ForwardedResponse> ParseForwardedResponse(std::string_view body) {
   const Json json = ParseJson(body);
   ForwardedResponse response;
-  Reader reader(json);
+  JsonReader reader(json);
   uint64_t status = 0;
-  uint64_t retry = 0;
-  reader.Unsigned("status", &status);
-  reader.Unsigned("retry_after_s", &retry);
-  reader.String("body", &response.body, 4 * kMaxBody);
-  reader.Unsigned("term", &response.term);
-  if (!reader.ok() || status < 200 || status > 599) return std::nullopt;
+  uint64_t retry_after_s = 0;
+  reader.Unsigned(peer_field::kStatus, &status);
+  reader.Unsigned(peer_field::kRetryAfterS, &retry_after_s);
+  reader.String(peer_field::kBody, &response.body, kMaxForwardedResponseBody);
+  reader.Unsigned(peer_field::kTerm, &response.term);
+  if (status < kMinHttpStatus || status > kMaxHttpStatus) {
+    reader.Fail(peer_field::kStatus, "must be from 200 to 599");
+  }
   response.status = static_cast<int>(status);
-  response.retry_after_s = static_cast<int>(retry);
-  return response;
+  response.retry_after_s = static_cast<int>(retry_after_s);
+  return reader.Finish(std::move(response));
 }
 
-std::optional<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body) {
+ParseResult<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body) {
   const Json json = ParseJson(body);
-  LeaderAnnouncement notice;
-  Reader reader(json);
-  reader.String("node", &notice.node);
-  reader.Unsigned("term", &notice.term);
-  if (!reader.ok()) return std::nullopt;
-  if (const auto credits = json.find("credits"); credits != json.end()) {
-    // A grant of another format must not hide who leads.
-    notice.credits = ReadCreditGrant(*credits);
+  LeaderAnnouncement announcement;
+  JsonReader reader(json);
+  reader.String(peer_field::kNode, &announcement.node);
+  reader.Unsigned(peer_field::kTerm, &announcement.term);
+  if (!reader.ok()) return reader.Failure();
+  if (const auto credits = json.find(peer_field::kCredits); credits != json.end()) {
+    if (auto grant = CreditGrantFromJson(*credits)) announcement.credits = std::move(*grant);
   }
-  return notice;
+  return announcement;
 }
 
 }  // namespace zinclead::wire
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -10,12 +10,14 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/wire.h"
+#include "wire/json.h"
+#include "wire/parse_error.h"
 
 namespace zinclead::wire {
 
-// One call carries a user's or worker's request to the leader; the answer carries the leader's.
+// Carries a user's or worker's request to the leader, and the leader's answer back.
 inline constexpr std::string_view kPeerForwardPath = "/peer/forward";
+// Exchanges LeaderAnnouncements.
 inline constexpr std::string_view kPeerLeaderPath = "/peer/leader";
 
 struct ForwardedRequest {
@@ -25,31 +27,34 @@
   uint64_t term = 0;  // the highest term the sender knows
 };
 struct ForwardedResponse {
-  int status = 0;
-  int retry_after_s = 0;
+  int status = 0;         // of HTTP, 200 to 599
+  int retry_after_s = 0;  // 0: none
   std::string body;
-  uint64_t term = 0;
+  uint64_t term = 0;  // the highest term the sender knows
 };
+
 // Which submissions a follower may forward to the leader until the next grant. Optional: versions
 // without fair admission neither send nor read it.
 struct CreditGrant {
   bool limited = false;  // false: all may be forwarded
   // Submissions of ids that the leader doesn't know, by tier and team.
   std::vector<std::map<std::string, uint64_t>> by_tier;
-  std::string reservations;  // filter of the ids that have a turn (admission::BloomFilter)
-  std::string accepted;      // filter of the ids that were accepted lately
+  std::string reservations;  // admission::BloomFilter of the ids that hold a reservation
+  std::string accepted;      // admission::BloomFilter of the ids that were accepted lately
 };
 struct LeaderAnnouncement {
   std::string node;  // empty: the sender doesn't lead
   uint64_t term = 0;
   std::optional<CreditGrant> credits = std::nullopt;  // from the leader
 };
-Json ToJson(const ForwardedRequest& request);
-Json ToJson(const ForwardedResponse& response);
-Json ToJson(const LeaderAnnouncement& notice);
-std::optional<ForwardedRequest> ParseForwardedRequest(std::string_view body);
-std::optional<ForwardedResponse> ParseForwardedResponse(std::string_view body);
-std::optional<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body);
+
+[[nodiscard]] Json ToJson(const ForwardedRequest& request);
+[[nodiscard]] Json ToJson(const ForwardedResponse& response);
+[[nodiscard]] Json ToJson(const LeaderAnnouncement& announcement);
+[[nodiscard]] ParseResult<ForwardedRequest> ParseForwardedRequest(std::string_view body);
+[[nodiscard]] ParseResult<ForwardedResponse> ParseForwardedResponse(std::string_view body);
+// A malformed credit grant counts as none: it must not hide who leads.
+[[nodiscard]] ParseResult<LeaderAnnouncement> ParseLeaderAnnouncement(std::string_view body);
 
 }  // namespace zinclead::wire
 
--- /dev/null
+++ b/src/wire/store_api.cc
@@ -0,0 +1,119 @@
+#include "wire/store_api.h"
+
+#include <utility>
+
+#include "wire/field_names.h"
+#include "wire/json_reader.h"
+
+namespace zinclead::wire {
+namespace {
+
+// The state service's error text for a lease that has ended.
+constexpr const char* kNoSuchLeaseError = "no such lease";
+constexpr std::string_view kRenewSuffix = "/touch";
+
+ParseResult<StoreItem> StoreItemFromJson(const Json& json) {
+  StoreItem item;
+  JsonReader reader(json);
+  reader.String(field::kKey, &item.key);
+  reader.Unsigned(field::kVersion, &item.version);
+  if (!reader.ok()) return reader.Failure();
+  // A value of null is one.
+  if (!json.contains(field::kValue)) return ParseFailure(field::kValue, "is missing");
+  item.value = json[field::kValue];
+  return item;
+}
+
+ParseResult<uint64_t> ParseUnsigned(std::string_view body, const char* name) {
+  const Json json = ParseJson(body);
+  JsonReader reader(json);
+  uint64_t value = 0;
+  reader.Unsigned(name, &value);
+  return reader.Finish(value);
+}
+
+Json ToJson(const VersionPrecondition& condition) {
+  return {{field::kKey, condition.key}, {field::kVersion, condition.version}};
+}
+
+Json ToJson(const StoreWrite& write) {
+  if (!write.value) return Json{{field::kDelete, write.key}};
+  Json put{{field::kPut, write.key}, {field::kValue, *write.value}};
+  if (write.lease) put[field::kLease] = *write.lease;
+  return put;
+}
+
+}  // namespace
+
+ParseResult<StoreItem> ParseStoreItem(std::string_view body) {
+  return StoreItemFromJson(ParseJson(body));
+}
+
+ParseResult<StorePage> ParseStorePage(std::string_view body) {
+  const Json json = ParseJson(body);
+  JsonReader reader(json);
+  StorePage page;
+  const Json* list = reader.Array(field::kItems);
+  reader.Unsigned(field::kRevision, &page.revision);
+  reader.Bool(field::kTruncated, &page.more);
+  if (!reader.ok()) return reader.Failure();
+  page.items.reserve(list->size());
+  for (const Json& entry : *list) {
+    auto item = StoreItemFromJson(entry);
+    if (!item) return tl::unexpected<ParseError>(std::move(item.error()));
+    page.items.push_back(std::move(*item));
+  }
+  return page;
+}
+
+std::string StoreKeyPath(const std::string& key) { return std::string(kStorePath) + "/" + key; }
+
+std::string StoreListPath(const std::string& prefix, const std::string& after, int limit) {
+  std::string path = std::string(kStorePath) + "?" + query::kPrefix + "=" + UrlEscape(prefix) +
+                     "&" + query::kLimit + "=" + std::to_string(limit);
+  if (!after.empty()) path += std::string("&") + query::kAfter + "=" + UrlEscape(after);
+  return path;
+}
+
+std::string CompareAndSwapBody(const std::vector<VersionPrecondition>& conditions,
+                               const std::vector<StoreWrite>& writes) {
+  Json condition_list = Json::array();
+  for (const VersionPrecondition& condition : conditions) {
+    condition_list.push_back(ToJson(condition));
+  }
+  Json write_list = Json::array();
+  for (const StoreWrite& write : writes) write_list.push_back(ToJson(write));
+  return Dump(
+      {{field::kConditions, std::move(condition_list)}, {field::kWrites, std::move(write_list)}});
+}
+
+ParseResult<uint64_t> ParseRevision(std::string_view body) {
+  return ParseUnsigned(body, field::kRevision);
+}
+
+std::vector<std::string> ParseFailedKeys(std::string_view body) {
+  return ParseList<std::string>(body, field::kFailedKeys, StringFromJson)
+      .value_or(std::vector<std::string>());
+}
+
+std::string LeaseBody(int64_t ttl_ms) { return Dump({{field::kTtlMs, ttl_ms}}); }
+
+ParseResult<uint64_t> ParseLease(std::string_view body) {
+  return ParseUnsigned(body, field::kLease);
+}
+
+bool IsNoSuchLease(std::string_view body) { return HasError(ParseJson(body), kNoSuchLeaseError); }
+
+std::string LeasePath(uint64_t lease) {
+  return std::string(kLeasesPath) + "/" + std::to_string(lease);
+}
+
+std::string LeaseRenewPath(uint64_t lease) { return LeasePath(lease) + std::string(kRenewSuffix); }
+
+std::string WatchPath(const std::string& prefix, uint64_t after, int64_t wait_ms) {
+  return std::string(kChangesPath) + "?" + query::kPrefix + "=" + UrlEscape(prefix) + "&" +
+         query::kAfter + "=" + std::to_string(after) + "&" + query::kWaitMs + "=" +
+         std::to_string(wait_ms);
+}
+
+}  // namespace zinclead::wire
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -101,9 +101,8 @@
 
 TEST_P(OlderVersion, MessagesAreUnderstoodAndWrittenAlike) {
   const wire::Json fixture = Fixture(GetParam());
-  std::string error;
-  const auto heartbeat = wire::ParseHeartbeat(fixture["report"].dump(), &error);
-  ASSERT_TRUE(heartbeat.has_value()) << error;
+  const auto heartbeat = wire::ParseHeartbeat(fixture["report"].dump());
+  ASSERT_TRUE(heartbeat.has_value()) << heartbeat.error().ToString();
   EXPECT_EQ(wire::ToJson(*heartbeat), fixture["report"]);
   const auto call = wire::ParseForwardedRequest(fixture["forward"].dump());
   ASSERT_TRUE(call.has_value());
