--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -60,8 +60,7 @@
     state_.finished[id] = {FinalState::kDone, value.value("tasks", 0U)};
     return true;
   }
-  std::string error;
-  auto spec = wire::JobSpecFromJson(value.value("spec", Json()), &error);
+  const auto spec = wire::JobSpecFromJson(value.value("spec", Json()));
   if (!spec || spec->id != id) return false;
   const int64_t accepted_ms = value.value("accepted_ms", int64_t{0});
   auto job = state_.NewJob(*spec, accepted_ms,
--- a/src/service/request_router.cc
+++ b/src/service/request_router.cc
@@ -97,9 +97,9 @@
 
 void RequestRouter::OnHeartbeat(const std::string& body, Origin origin, const Reply& reply) {
   spdlog::debug("heartbeat: {}", body);
-  std::string error;
-  const auto heartbeat = wire::ParseHeartbeat(body, &error);
+  const auto heartbeat = wire::ParseHeartbeat(body);
   if (!heartbeat) {
+    const std::string error = heartbeat.error().ToString();
     ++malformed_heartbeats_;
     spdlog::error("malformed heartbeat ({} so far): {}", malformed_heartbeats_, error);
     return reply(BadRequest(error));
--- a/src/service/user_request.cc
+++ b/src/service/user_request.cc
@@ -11,13 +11,12 @@
 using ParsedRequest = std::variant<UserRequest, net::Response>;
 
 ParsedRequest ParseSubmission(const std::string& body, size_t max_spec_bytes) {
-  std::string error;
-  auto spec = wire::ParseSubmission(body, &error);
+  auto spec = wire::ParseSubmission(body);
   if (spec && wire::ToJson(*spec).dump().size() > max_spec_bytes) {
-    error = "the texts in it are too long";
-    spec.reset();
+    spec = wire::ParseFailure("", "the texts in it are too long");
   }
   if (spec) return UserRequest(Submission{*std::move(spec)});
+  std::string error = spec.error().ToString();
   auto job_id = wire::SubmissionId(body);
   if (!job_id) return BadRequest(error);
   return UserRequest(MalformedSubmission{*std::move(job_id), std::move(error)});
