--- a/src/core/gang_arrivals.cc
+++ b/src/core/gang_arrivals.cc
@@ -10,13 +10,14 @@
   history.arrivals.push_back({now, spec.tasks});
 }
 
-std::map<std::string, GangArrivals::Class> GangArrivals::Recent(double now, double window_s) {
-  std::map<std::string, Class> recent;
+std::map<std::string, GangArrivals::ClassSummary> GangArrivals::Recent(double now,
+                                                                       double window_s) {
+  std::map<std::string, ClassSummary> recent;
   for (auto& [name, history] : history_) {
     std::erase_if(history.arrivals,
                   [&](const Arrival& arrival) { return now - arrival.at > window_s; });
     if (history.arrivals.empty()) continue;
-    Class& summary = recent[name];
+    ClassSummary& summary = recent[name];
     summary.latest = history.latest;
     for (const Arrival& arrival : history.arrivals) {
       summary.tasks += arrival.tasks;
--- a/src/core/gang_arrivals.h
+++ b/src/core/gang_arrivals.h
@@ -1,5 +1,5 @@
-// How many tasks of gangs have come lately, by class: what tells how much room to keep for those
-// that come next. Learned anew in each term.
+// Counts recently accepted gang tasks by job class, to forecast how much headroom the next gangs
+// need. Counted anew in each term.
 #ifndef ZINCLEAD_CORE_GANG_ARRIVALS_H_
 #define ZINCLEAD_CORE_GANG_ARRIVALS_H_
 
@@ -12,19 +12,21 @@
 
 namespace zinclead::core {
 
+// The gangs of a sliding window of time. Times are on the steady clock, in seconds.
 class GangArrivals {
  public:
-  // The gangs of one class.
-  struct Class {
-    wire::JobSpec latest;
-    // Tasks that came within the window, and those of the largest gang among them.
-    uint32_t tasks = 0;
-    uint32_t largest = 0;
+  // The recent gangs of one job class.
+  struct ClassSummary {
+    wire::JobSpec latest;  // the gang that was added last
+    uint32_t tasks = 0;    // of all gangs within the window
+    uint32_t largest = 0;  // tasks of the largest of them
   };
 
+  // Counts a gang that was accepted at `now`.
   void Add(const wire::JobSpec& spec, double now);
-  // Forgets what came more than `window_s` ago. Classes of which nothing came since are left out.
-  std::map<std::string, Class> Recent(double now, double window_s);
+  // Sums up the gangs of the last `window_s` seconds by job class, and forgets older ones. Classes
+  // without any are left out.
+  std::map<std::string, ClassSummary> Recent(double now, double window_s);
 
  private:
   struct Arrival {
@@ -35,7 +37,7 @@
     wire::JobSpec latest;
     std::deque<Arrival> arrivals;
   };
-  std::map<std::string, History> history_;  // by class
+  std::map<std::string, History> history_;  // by job class
 };
 
 }  // namespace zinclead::core
