--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -79,7 +79,7 @@
     double until = 0;
     double backoff_s = 0;
   };
-  std::map<std::string, CapacityBackoff> capacity_backoffs;
+  std::map<MachineOfferKey, CapacityBackoff> capacity_backoffs;
   TokenBucket scale_out_rate_limiter;
 
   // Done chunks that were read before their job.
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -92,13 +92,13 @@
   scale_out->spot = value.value("spot", false);
   scale_out->count = value.value("count", 0);
   scale_out->adopted = value.value("adopted", false);
-  scale_out->stored = true;
+  scale_out->phase = ScaleOutPhase::kDurable;
   scale_out->requested_at =
       std::min(state_.started_at, static_cast<double>(value.value("asked_ms", int64_t{0})) / 1000 -
                                       state_.wall_offset);
   const auto machines = value.find("machines");
   if (machines != value.end() && machines->is_object()) {
-    scale_out->answered = true;
+    scale_out->phase = ScaleOutPhase::kAnswered;
     for (const auto& [id, dispatch_mark] : machines->items()) {
       scale_out->machines[id] = dispatch_mark.is_number_integer() && dispatch_mark.get<int>() == 1;
     }
@@ -175,7 +175,7 @@
             {"count", scale_out.count},
             {"asked_ms", asked_ms}};
   if (scale_out.adopted) json["adopted"] = true;
-  if (!scale_out.answered) return json;
+  if (!scale_out.Answered()) return json;
   Json names = Json::object();
   std::vector<std::string>& dispatch_marks = queue_.BeginWrite(key).dispatch_marks;
   for (const auto& [id, held] : scale_out.machines) {
@@ -198,7 +198,7 @@
   if (StartsWith(key, kMachinePrefix)) {
     const auto it = state_.scale_outs.find(key.substr(kMachinePrefix.size()));
     if (it == state_.scale_outs.end()) return std::nullopt;
-    if (it->second->answered && it->second->machines.empty()) return std::nullopt;
+    if (it->second->Answered() && it->second->machines.empty()) return std::nullopt;
     return SerializeScaleOut(key, *it->second);
   }
   if (StartsWith(key, kTypePrefix)) {
@@ -251,14 +251,14 @@
   const auto it = state_.scale_outs.find(name);
   if (it == state_.scale_outs.end()) return;
   ScaleOutRecord* scale_out = it->second.get();
-  scale_out->stored = true;
+  scale_out->OnStored();
   for (const std::string& id : dispatch_marks) {
     const auto m = state_.machines.find(id);
     if (m == state_.machines.end() || m->second->record != name) continue;
     scale_out->machines[id] = true;
     m->second->dispatchable = true;
   }
-  if (scale_out->answered && scale_out->machines.empty() && !queue_.Contains(key))
+  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(key))
     state_.scale_outs.erase(it);
 }
 
--- a/src/core/failover_reconciler.cc
+++ b/src/core/failover_reconciler.cc
@@ -4,20 +4,19 @@
 
 namespace zinclead::core {
 
-// Until every machine that may hold tasks of earlier terms has shown that it follows this term, or
-// is gone, a task that nobody has reported may still run somewhere.
 void FailoverReconciler::CheckReconciled() {
   if (state_.reconciled) return;
-  for (const auto& [id, m] : state_.machines) {
-    if (m->MayHaveUnreconciledTasks()) return;
+  for (const auto& [id, machine] : state_.machines) {
+    if (machine->MayHaveUnreconciledTasks()) return;
   }
   state_.reconciled = true;
   state_.schedule_due = true;
-  std::vector<Job*> over;
+  std::vector<Job*> finished;
   for (auto& [id, job] : state_.jobs) {
-    if (job->final_state != FinalState::kNone && job->attempts.empty()) over.push_back(job.get());
+    if (job->final_state != FinalState::kNone && job->attempts.empty())
+      finished.push_back(job.get());
   }
-  for (Job* job : over) attempts_.ArchiveJobIfFinished(job);
+  for (Job* job : finished) attempts_.ArchiveJobIfFinished(job);
 }
 
 void FailoverReconciler::OnEarlierLeadersEnded(double now) {
--- a/src/core/scale_out_record.h
+++ b/src/core/scale_out_record.h
@@ -2,6 +2,8 @@
 #ifndef ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 #define ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 
+#include <compare>
+#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
@@ -10,33 +12,52 @@
 
 namespace zinclead::core {
 
-inline std::string OfferKey(const std::string& type, const std::string& zone, bool spot) {
-  return type + "|" + zone + (spot ? "|spot" : "|ordinary");
-}
+// What the cloud offers and can run out of: machines of a type in a zone, spot or not.
+struct MachineOfferKey {
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  auto operator<=>(const MachineOfferKey&) const = default;  // NOLINT(modernize-use-nullptr)
+};
 
-// One rent request and the machines it brought (or one adopted machine).
+enum class ScaleOutPhase : uint8_t {
+  kQueued,    // decided; its name must be durable before it is sent
+  kDurable,   // may be sent
+  kSent,      // a call is in flight
+  kAnswered,  // the machines that it brought are known
+};
+
+// One scale-out request and the machines it brought, or one adopted machine. Times are seconds on
+// the steady clock.
 struct ScaleOutRecord {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
-  bool answered = false;
+  ScaleOutPhase phase = ScaleOutPhase::kQueued;
   bool adopted = false;
-  bool stored = false;  // named durably: the request may be sent
-  bool sending = false;
-  double retry_at = 0;
-  double requested_at = 0;  // on this node's steady clock; the record holds the time of day
-  std::map<std::string, bool> machines;  // name -> may hold tasks
+  double retry_at = 0;                   // not sent before
+  double requested_at = 0;               // the stored record holds the time of day
+  std::map<std::string, bool> machines;  // id -> dispatchable: a task may be on it
+
+  MachineOfferKey Offer() const { return {type, zone, spot}; }
+  bool Answered() const { return phase == ScaleOutPhase::kAnswered; }
+  void OnStored() {
+    if (phase == ScaleOutPhase::kQueued) phase = ScaleOutPhase::kDurable;
+  }
+  void OnSendFailed() {
+    if (phase == ScaleOutPhase::kSent) phase = ScaleOutPhase::kDurable;
+  }
 };
 
-// kUnknown: no answer; the request may have been carried out, or may still be.
+// kUnknown: no response; the request may have been carried out, or may still be.
 enum class ScaleOutOutcome { kProvisioned, kNoCapacity, kUnknown };
 
 // What the service must do for the core.
 struct CloudActions {
   std::vector<wire::ScaleOutRequest> scale_out;
-  std::vector<std::string> scale_in;  // machines to delete
+  std::vector<std::string> scale_in;  // machines to terminate
   bool empty() const { return scale_out.empty() && scale_in.empty(); }
 };
 
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -841,7 +841,7 @@
       upcoming_capacity_.push_back(std::move(room));
     }
     for (const auto& [name, scale_out] : state_.scale_outs) {
-      if (scale_out->answered) continue;
+      if (scale_out->Answered()) continue;
       const auto type = state_.types.find(scale_out->type);
       if (type == state_.types.end()) continue;
       for (int i = 0; i < scale_out->count; ++i)
@@ -963,7 +963,7 @@
   }
 
   bool InCapacityBackoff(const std::string& type, const std::string& zone, bool spot) const {
-    const auto it = state_.capacity_backoffs.find(OfferKey(type, zone, spot));
+    const auto it = state_.capacity_backoffs.find({type, zone, spot});
     return it != state_.capacity_backoffs.end() && it->second.until > now_;
   }
 
