--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -108,8 +108,7 @@
 
 void SimulatedFleet::Submit() {
   for (int i = 0; i < size_.jobs; ++i) {
-    std::string error;
-    cluster_->Submit(MakeJob(i, size_.tasks_per_job), now_, kWallOffset + now_, &error);
+    cluster_->Submit(MakeJob(i, size_.tasks_per_job), now_, kWallOffset + now_);
   }
   Store();
 }
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -6,52 +6,55 @@
 #include <utility>
 
 namespace zinclead::core {
+namespace {
+
+// The tasks of services and gangs count together, those of arrays one by one.
+bool FitsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
+  const double count = spec.kind == wire::JobKind::kArray ? 1 : spec.tasks;
+  return (team.cpus_max <= 0 || count * spec.cpus <= team.cpus_max) &&
+         (team.gpus_max <= 0 || count * spec.gpus <= team.gpus_max);
+}
+
+}  // namespace
 
 Cluster::Cluster(const config::Settings& settings,
                  const config::OperatorSettings& operator_settings, uint64_t term, double now,
                  double wall_now, uint64_t random_seed, Clock clock)
     : state_(settings, operator_settings, term, now, wall_now, random_seed, std::move(clock)) {}
 
-SubmitOutcome Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now,
-                              std::string* error, admission::Decision* busy) {
-  if (state_.finished.contains(spec.id)) return SubmitOutcome::kKnown;
-  if (const Job* known = state_.FindJob(spec.id)) {
-    return known->stored ? SubmitOutcome::kKnown : SubmitOutcome::kPendingStore;
-  }
+SubmitResult Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now) {
+  if (state_.finished.contains(spec.id)) return {SubmitOutcome::kKnown, ""};
+  if (const Job* known = state_.FindJob(spec.id))
+    return {known->stored ? SubmitOutcome::kKnown : SubmitOutcome::kPendingStore, ""};
   const config::Team* team = state_.settings.FindTeam(spec.team);
-  if (team == nullptr) {
-    *error = "unknown team";
-    return SubmitOutcome::kUnprocessable;
-  }
-  const double count = spec.kind == wire::JobKind::kArray ? 1 : spec.tasks;
-  if ((team->cpus_max > 0 && count * spec.cpus > team->cpus_max) ||
-      (team->gpus_max > 0 && count * spec.gpus > team->gpus_max)) {
-    *error = "more than the team's limit";
-    return SubmitOutcome::kUnprocessable;
-  }
-  if (state_.types.empty()) return SubmitOutcome::kUndecided;
+  if (team == nullptr) return {SubmitOutcome::kUnprocessable, "unknown team"};
+  if (!FitsTeamLimit(spec, *team))
+    return {SubmitOutcome::kUnprocessable, "more than the team's limit"};
+  if (state_.types.empty()) return {SubmitOutcome::kUndecided, ""};
+  if (const char* reason = WhyUnplaceable(spec)) return {SubmitOutcome::kUnprocessable, reason};
+  return Admit(spec, now, wall_now);
+}
+
+const char* Cluster::WhyUnplaceable(const wire::JobSpec& spec) const {
   if (std::none_of(state_.types.begin(), state_.types.end(),
-                   [&](const auto& entry) { return FitsType(spec, entry.second); })) {
-    *error = "a task fits no allowed machine type";
-    return SubmitOutcome::kUnprocessable;
-  }
-  if (spec.kind == wire::JobKind::kGang && !CanRunTogether(spec)) {
-    *error = "its tasks can never run together: at most half of them may be in one zone";
-    return SubmitOutcome::kUnprocessable;
-  }
+                   [&](const auto& entry) { return FitsType(spec, entry.second); }))
+    return "a task fits no allowed machine type";
+  if (spec.kind == wire::JobKind::kGang && !CanRunTogether(spec))
+    return "its tasks can never run together: at most half of them may be in one zone";
+  return nullptr;
+}
+
+SubmitResult Cluster::Admit(const wire::JobSpec& spec, double now, double wall_now) {
   const admission::Decision decision = state_.admission.Decide(
       {spec.id, spec.team, admission::TierOf(spec.priority), state_.admission_limits.CostOf(spec)},
       now);
-  if (!decision.admitted) {
-    if (busy != nullptr) *busy = decision;
-    return SubmitOutcome::kBusy;
-  }
+  if (!decision.admitted) return {SubmitOutcome::kBusy, "", decision.retry_after_s};
   const auto accepted_ms = static_cast<int64_t>(std::llround(wall_now * 1000));
   auto job = state_.NewJob(spec, accepted_ms, now);
   state_.active_jobs[{accepted_ms, spec.id}] = job.get();
   queue_.Enqueue(JobKey(spec.id), Importance::kUser);
   state_.jobs[spec.id] = std::move(job);
-  return SubmitOutcome::kAccepted;
+  return {SubmitOutcome::kAccepted, ""};
 }
 
 // A spread gang of more than one task needs two zones that have machines for it.
@@ -78,7 +81,8 @@
   if (job->final_state == FinalState::kDone) return CancelOutcome::kDone;
   if (job->final_state == FinalState::kCancelled) return CancelOutcome::kCancelled;
   if (!job->AllDone() && !job->cancel_wanted) {
-    // From here on nothing of it starts; it is stopped once the cancellation is durable.
+    // From now on none of its tasks starts; those that run are stopped once the cancellation is
+    // durable.
     job->cancel_wanted = true;
     queue_.Enqueue(JobKey(id), Importance::kUser);
     for (auto& [index, attempt] : job->active) {
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -1,9 +1,12 @@
-// The leader's view of jobs, tasks and machines, and every decision about them. Pure: no I/O, no
-// clock and no randomness of its own. It is built from the records of the state service when a term
-// begins and thrown away when the term ends.
+// The leader's interface to the state of one term: joins ClusterState with the classes that decide
+// on it. Pure: no I/O, no clock and no randomness of its own. It is built from the records of the
+// state service when a term begins and destroyed when the term ends. Times are seconds on the
+// steady clock, except for `wall_now`, which is the time of day in seconds. Not thread-safe (see
+// LockedCluster).
 //
 // What must be durable is kept as records. A change queues its record; the service serializes
-// queued records into transactions and says when they are stored. Nothing is told to a user before.
+// queued records into transactions and calls OnStored when they are durable. Users are told nothing
+// before that.
 #ifndef ZINCLEAD_CORE_CLUSTER_H_
 #define ZINCLEAD_CORE_CLUSTER_H_
 
@@ -33,8 +36,28 @@
 
 namespace zinclead::core {
 
-enum class SubmitOutcome { kKnown, kAccepted, kPendingStore, kUnprocessable, kBusy, kUndecided };
-enum class CancelOutcome { kCancelled, kDone, kPendingStore, kUnknown, kUndecided };
+enum class SubmitOutcome {
+  kKnown,          // accepted durably, in this term or an earlier one
+  kAccepted,       // to be answered when its record is durable
+  kPendingStore,   // accepted before, and not durable yet
+  kUnprocessable,  // can never run
+  kBusy,           // not admitted now
+  kUndecided,      // the machine types are not known yet
+};
+
+struct SubmitResult {
+  SubmitOutcome outcome = SubmitOutcome::kUndecided;
+  std::string reason;     // kUnprocessable: why, for the user
+  int retry_after_s = 0;  // kBusy: when the user should submit again
+};
+
+enum class CancelOutcome {
+  kCancelled,     // durably
+  kDone,          // it was done before
+  kPendingStore,  // to be answered when its record is durable
+  kUnknown,       // no such job was accepted
+  kUndecided,     // the job itself is not durable yet
+};
 
 class Cluster {
  public:
@@ -43,34 +66,31 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // ---- loading a term's records; every record, then FinishLoading ----
-  // Returns false for a record that can't be understood.
+  // ---- loading a term's records: see DurableState ----
   bool LoadRecord(const std::string& key, const wire::Json& value) {
     return durable_state_.LoadRecord(key, value);
   }
   void FinishLoading(double now) { durable_state_.FinishLoading(now); }
 
   // ---- users ----
-  // kBusy: `busy` says when the user should come back.
-  SubmitOutcome Submit(const wire::JobSpec& spec, double now, double wall_now, std::string* error,
-                       admission::Decision* busy = nullptr);
+  SubmitResult Submit(const wire::JobSpec& spec, double now, double wall_now);
   CancelOutcome Cancel(const std::string& id);
   using JobView = core::JobView;
+  // nullopt for a job that this term does not know.
   std::optional<JobView> View(const std::string& id) const;
 
   // ---- workers ----
   using HeartbeatResult = core::HeartbeatResult;
-  // The caller must be entitled to answer workers (see election::Elector). `lease_expired`: its own
-  // lease may have ended, so a newer leader may exist.
+  // See HeartbeatHandler::OnHeartbeat.
   HeartbeatResult OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
                               bool lease_expired = false) {
     return heartbeats_.OnHeartbeat(heartbeat, now, lease_expired);
   }
 
-  // Every other controller knows this term: none can answer workers for an earlier one any more.
+  // Every other controller knows this term: none can renew workers' leases for an earlier one.
   void OnEarlierLeadersEnded(double now) { reconciler_.OnEarlierLeadersEnded(now); }
 
-  // ---- cloud ----
+  // ---- cloud: see MachineRegistry ----
   void OnMachineTypes(const std::vector<wire::MachineType>& types) {
     registry_.OnMachineTypes(types);
   }
@@ -80,34 +100,35 @@
                           const std::vector<std::string>& machines, double now) {
     registry_.OnScaleOutAnswered(name, outcome, machines, now);
   }
-  void OnTerminated(const std::vector<std::string>& machines, bool gone, double now) {
-    registry_.OnTerminated(machines, gone, now);
+  void OnTerminated(const std::vector<std::string>& machines, bool confirmed, double now) {
+    registry_.OnTerminated(machines, confirmed, now);
   }
   void OnMachineList(const std::vector<wire::ListedMachine>& machines, double now) {
     registry_.OnMachineList(machines, now);
   }
 
-  // ---- decisions; run after changes and at the times NextWake names ----
-  // `lease_expired`: as for OnHeartbeat.
+  // ---- scheduling ----
+  // Runs what is due: the machine rules, a scheduling cycle, scale-out requests. To be called after
+  // changes and at the time that NextWake returns. Returns the calls to make to the cloud; each
+  // must be answered through OnScaleOutAnswered or OnTerminated. `lease_expired`: as for
+  // OnHeartbeat.
   CloudActions Schedule(double now, bool lease_expired = false);
-  // A whole pass costs time for each job and machine: when much changes, one serves many changes.
+  // A scheduling cycle costs time for each job and machine: when much changes, one serves many
+  // changes.
   double NextWake() const {
     return state_.schedule_due ? std::min(state_.next_wake, state_.cycle_rate_limiter.next_at())
                                : state_.next_wake;
   }
 
-  // ---- records ----
+  // ---- records: see RecordQueue and DurableState ----
   bool HasQueuedRecords() const { return !queue_.empty(); }
   Importance QueuedImportance() const { return queue_.FirstImportance(); }
   std::vector<std::string> DequeueRecords(size_t max) { return queue_.Dequeue(max); }
   Importance ImportanceOf(const std::string& key) const { return queue_.ImportanceOf(key); }
-  // What the record should hold now; nullopt: the key should not exist. What it covers is
-  // remembered until OnStored or Requeue.
   std::optional<wire::Json> Serialize(const std::string& key) {
     return durable_state_.Serialize(key);
   }
   void OnStored(const std::string& key, double now) { durable_state_.OnStored(key, now); }
-  // Puts a record back that could not be stored.
   void Requeue(const std::string& key) { queue_.Requeue(key); }
 
   // Jobs whose accepted, done or cancelled state became durable since the last call.
@@ -130,7 +151,10 @@
   }
 
  private:
+  // Why the job can never run, for the user; null if it can. Requires that machine types are known.
+  const char* WhyUnplaceable(const wire::JobSpec& spec) const;
   bool CanRunTogether(const wire::JobSpec& spec) const;
+  SubmitResult Admit(const wire::JobSpec& spec, double now, double wall_now);
 
   ClusterState state_;
   RecordQueue queue_;
--- a/src/core/cluster_state.cc
+++ b/src/core/cluster_state.cc
@@ -8,9 +8,9 @@
 namespace zinclead::core {
 
 double KeepAliveLimit(const config::Settings& settings) {
-  // A cancellation told by a newer leader must hold cancel_s later on a worker that only the old
-  // leader reaches: it is answered until this limit and then runs out its lease. The 3% cover the
-  // clocks' drift and the way of the last answer.
+  // A cancellation that a newer leader has confirmed to a user must hold cancel_s later on a worker
+  // that only the old leader reaches: its heartbeats are answered until this limit, and then its
+  // lease expires. The 3% cover the clocks' drift and the delay of the last response.
   return (settings.cancel_s - settings.lease_s) * 0.97;
 }
 
--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -34,11 +34,11 @@
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
-  // Null if no such job is known, or it is over and nothing of it is left on any machine.
+  // Null if no such job is known, or it is finished and archived.
   Job* FindJob(const std::string& id) const;
   // Null if no such machine is known.
   Machine* FindMachine(const std::string& id) const;
-  // A job of which nothing has started. The caller adds it to `jobs`.
+  // A job with all tasks pending. The caller adds it to `jobs`.
   std::unique_ptr<Job> NewJob(const wire::JobSpec& spec, int64_t accepted_ms, double accepted_at);
 
   const config::Settings settings;
@@ -51,11 +51,11 @@
   const double wall_offset;        // wall clock minus steady clock
   std::mt19937_64 random;
   uint64_t next_serial = 1;
-  uint64_t heartbeat_count = 0;
+  uint64_t heartbeat_count = 0;  // heartbeats whose tasks were reconciled
   uint32_t next_attempt = 1;
   uint32_t next_scale_out = 1;
 
-  // Jobs that are over and have nothing left on any machine; kept for good.
+  // Jobs that are finished and have nothing left on any machine; kept for the whole term.
   struct FinishedJob {
     FinalState state;
     uint32_t tasks;
@@ -67,14 +67,13 @@
   std::map<std::pair<int64_t, std::string>, Job*> active_jobs;
   std::map<std::string, std::unique_ptr<Machine>> machines;
   std::unordered_map<std::string, std::unique_ptr<ScaleOutRecord>> scale_outs;
-  std::unordered_set<std::string> terminated;  // machines whose deletion was answered
+  std::unordered_set<std::string> terminated;  // machines whose termination was confirmed
   std::map<std::string, size_t> machines_in_zone;
   std::map<std::string, wire::MachineType> types;
   std::map<std::string, Resources> team_usage;
-  // Services' attempts whose start is in no answer yet, the oldest job's first.
+  // Services' attempts whose start is in no response yet, the oldest job's first.
   std::map<AttemptKey, Attempt*> unsent_services;
-  // Offers (type, zone and kind) that the cloud had too few of are left alone, for longer each
-  // time.
+  // Offers that the cloud had too few machines of are not asked for, for longer each time.
   struct CapacityBackoff {
     double until = 0;
     double backoff_s = 0;
@@ -82,23 +81,23 @@
   std::map<MachineOfferKey, CapacityBackoff> capacity_backoffs;
   TokenBucket scale_out_rate_limiter;
 
-  // Done chunks that were read before their job.
+  // While loading: the progress chunks by job and chunk number.
   std::map<std::string, std::map<uint32_t, std::string>> loaded_done;
-  std::vector<std::string> durable_state_changes;
-  // By how many tasks the spare room for production services (Machine::headroom_slots) was more
-  // than is wanted in the last pass.
+  std::vector<std::string> durable_state_changes;  // see Cluster::TakeDurableStateChanges
+  // By how many tasks the headroom for production services (Machine::headroom_slots) was more than
+  // is wanted in the last scheduling cycle.
   int headroom_surplus = 0;
-  // Room that the last pass kept for gangs that have waited too long, by machine.
+  // Capacity that the last cycle reserved for gangs that have waited too long, by machine.
   std::map<std::string, Resources> starved_gang_reservations;
-  // Room that the last pass kept free for gangs to come, by machine.
+  // Capacity that the last cycle kept free for gangs that are forecast, by machine.
   std::map<std::string, Resources> gang_headroom;
   GangArrivals gang_arrivals;
-  bool reconciled = false;
-  bool schedule_due = true;
-  double next_wake = 0;
-  double retry_at = 0;  // when pending jobs are tried again even if nothing has changed
+  bool reconciled = false;   // see FailoverReconciler
+  bool schedule_due = true;  // something has changed since the last scheduling cycle
+  double next_wake = 0;      // when the service must call Cluster::Schedule at the latest
+  double retry_at = 0;       // when pending jobs are tried again even if nothing has changed
   CycleRateLimiter cycle_rate_limiter;
-  double next_migration_at = 0;  // no service is moved before
+  double next_migration_at = 0;  // no service is migrated before
 };
 
 // How long after the start of a term a silent machine's agent epoch may still be kept alive by an
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -1,7 +1,7 @@
 #include "core/durable_state.h"
 
+#include <algorithm>
 #include <cmath>
-#include <cstdlib>
 #include <utility>
 
 namespace zinclead::core {
@@ -9,15 +9,12 @@
 
 using wire::Json;
 
-// What the name of the done set and its quotes take in a job's record.
+// What the field name of the done set and its quotes take in a job's record.
 constexpr size_t kDoneFieldBytes = 16;
 
-bool StartsWith(const std::string& text, std::string_view prefix) {
-  return text.compare(0, prefix.size(), prefix) == 0;
-}
-
-// Of a cancelled job the record keeps what may be left of it on machines: what it takes there, and
-// its team. The longest texts go, so that the cancellation can be stored whatever the limits.
+// The spec that the record of a cancelled job keeps if the whole does not fit: what may be left of
+// the job on machines, that is its request there, and its team. Without the longest texts the
+// cancellation can be stored whatever the limits are.
 wire::JobSpec Shortened(wire::JobSpec spec) {
   spec.types.reset();
   spec.image.clear();
@@ -32,25 +29,31 @@
     queue_.Enqueue(key, Importance::kBackground);  // to be deleted now
     return true;
   }
-  if (StartsWith(key, kJobPrefix)) return LoadJob(key.substr(kJobPrefix.size()), value);
-  if (StartsWith(key, kMachinePrefix))
-    return LoadScaleOut(key.substr(kMachinePrefix.size()), value);
-  if (StartsWith(key, kTypePrefix)) {
-    auto type = wire::MachineTypeFromJson(value);
-    if (!type) return false;
-    state_.types[type->name] = *type;
-    return true;
-  }
-  if (StartsWith(key, kDonePrefix)) {
-    const std::string rest = key.substr(kDonePrefix.size());
-    const size_t slash = rest.find('/');
-    if (slash == std::string::npos || !value.is_string()) return false;
-    state_.loaded_done[rest.substr(0, slash)]
-                      [static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10))] =
-        value.get<std::string>();
-    return true;
+  const RecordKey record = ParseRecordKey(key);
+  switch (record.kind) {
+    case RecordKind::kJob:
+      return LoadJob(record.id, value);
+    case RecordKind::kScaleOut:
+      return LoadScaleOut(record.id, value);
+    case RecordKind::kMachineType:
+      return LoadMachineType(value);
+    case RecordKind::kProgress:
+      if (!value.is_string()) return false;
+      state_.loaded_done[record.id][record.chunk] = value.get<std::string>();
+      return true;
+    case RecordKind::kForeign:
+      return true;
+    case RecordKind::kMalformed:
+      return false;
   }
-  return true;  // another package's record
+  return false;
+}
+
+bool DurableState::LoadMachineType(const Json& value) {
+  auto type = wire::MachineTypeFromJson(value);
+  if (!type) return false;
+  state_.types[type->name] = *type;
+  return true;
 }
 
 bool DurableState::LoadJob(const std::string& id, const Json& value) {
@@ -70,7 +73,7 @@
   job->inherited = true;
   job->done_chunk = std::max(1U, value.value("chunk", job->done_chunk));
   if (final_state == "cancelled") {
-    // Kept whole for a while: what may be left of it on machines counts for its team.
+    // Kept until its tasks have ended: what may be left of it on machines counts for its team.
     job->final_state = FinalState::kCancelled;
     job->cancel_wanted = true;
   } else {
@@ -108,23 +111,14 @@
 }
 
 void DurableState::FinishLoading(double now) {
-  for (auto& [id, chunks] : state_.loaded_done) {
-    Job* job = state_.FindJob(id);
-    for (auto& [chunk, text] : chunks) {
-      if (job != nullptr && job->final_state == FinalState::kNone) {
-        progress_.ApplyDone(job, chunk * job->done_chunk, text);
-      } else {
-        queue_.Enqueue(ProgressKey(id, chunk), Importance::kBackground);  // left over: delete it
-      }
-    }
-  }
-  state_.loaded_done.clear();
+  ApplyLoadedProgress();
   for (auto& [name, scale_out] : state_.scale_outs) {
-    for (auto& [id, held] : scale_out->machines) {
-      Machine* m = registry_.AddMachine(id, scale_out.get(), now);
-      m->dispatchable = held;
-      // One that may hold tasks was up once. It must be heard of before anything is placed on it.
-      if (held) m->stage = MachineStage::kUp;
+    for (auto& [id, dispatchable] : scale_out->machines) {
+      Machine* machine = registry_.AddMachine(id, scale_out.get(), now);
+      machine->dispatchable = dispatchable;
+      // One that may hold tasks was up once. It must send a heartbeat before anything is placed on
+      // it.
+      if (dispatchable) machine->stage = MachineStage::kUp;
     }
   }
   for (auto& [key, job] : state_.active_jobs) {
@@ -138,6 +132,20 @@
   state_.schedule_due = true;
 }
 
+void DurableState::ApplyLoadedProgress() {
+  for (auto& [id, chunks] : state_.loaded_done) {
+    Job* job = state_.FindJob(id);
+    for (auto& [chunk, text] : chunks) {
+      if (job != nullptr && job->final_state == FinalState::kNone) {
+        progress_.ApplyDone(job, chunk * job->done_chunk, text);
+      } else {
+        queue_.Enqueue(ProgressKey(id, chunk), Importance::kBackground);  // left over: delete it
+      }
+    }
+  }
+  state_.loaded_done.clear();
+}
+
 Json DurableState::SerializeJob(const std::string& key, Job* job) {
   InFlightWrite& in_flight = queue_.BeginWrite(key);
   if (job->final_state == FinalState::kDone ||
@@ -159,9 +167,9 @@
   if (job->chunk_split == ChunkSplit::kSwitching) in_flight.chunk = progress_.ChunkSize();
   json["chunk"] = in_flight.chunk;
   const size_t size = json.dump().size() + kDoneFieldBytes;
-  const size_t room = state_.settings.ValueBytes() - std::min(size, state_.settings.ValueBytes());
-  const std::string done =
-      progress_.SerializeDoneSet(*job, 0, in_flight.chunk, room, &in_flight.done);
+  const size_t value_bytes = state_.settings.ValueBytes();
+  const std::string done = progress_.SerializeDoneSet(
+      *job, 0, in_flight.chunk, value_bytes - std::min(size, value_bytes), &in_flight.done);
   if (!done.empty()) json["done"] = done;
   return json;
 }
@@ -178,41 +186,43 @@
   if (!scale_out.Answered()) return json;
   Json names = Json::object();
   std::vector<std::string>& dispatch_marks = queue_.BeginWrite(key).dispatch_marks;
-  for (const auto& [id, held] : scale_out.machines) {
-    const auto it = state_.machines.find(id);
-    const bool dispatch_mark =
-        held || (it != state_.machines.end() && it->second->dispatchable_requested);
-    if (dispatch_mark) dispatch_marks.push_back(id);
-    names[id] = dispatch_mark ? 1 : 0;
+  for (const auto& [id, dispatchable] : scale_out.machines) {
+    const Machine* machine = state_.FindMachine(id);
+    const bool marked = dispatchable || (machine != nullptr && machine->dispatchable_requested);
+    if (marked) dispatch_marks.push_back(id);
+    names[id] = marked ? 1 : 0;
   }
   json["machines"] = std::move(names);
   return json;
 }
 
 std::optional<Json> DurableState::Serialize(const std::string& key) {
-  if (StartsWith(key, kJobPrefix)) {
-    Job* job = state_.FindJob(key.substr(kJobPrefix.size()));
-    if (job == nullptr) return std::nullopt;  // not reached: jobs are never forgotten while dirty
-    return SerializeJob(key, job);
-  }
-  if (StartsWith(key, kMachinePrefix)) {
-    const auto it = state_.scale_outs.find(key.substr(kMachinePrefix.size()));
-    if (it == state_.scale_outs.end()) return std::nullopt;
-    if (it->second->Answered() && it->second->machines.empty()) return std::nullopt;
-    return SerializeScaleOut(key, *it->second);
-  }
-  if (StartsWith(key, kTypePrefix)) {
-    const auto it = state_.types.find(key.substr(kTypePrefix.size()));
-    if (it == state_.types.end()) return std::nullopt;
-    return wire::ToJson(it->second);
-  }
-  if (StartsWith(key, kDonePrefix)) {
-    const std::string rest = key.substr(kDonePrefix.size());
-    const size_t slash = rest.find('/');
-    const Job* job = state_.FindJob(rest.substr(0, slash));
-    if (job == nullptr || job->final_state != FinalState::kNone) return std::nullopt;
-    const auto chunk = static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
-    return progress_.SerializeChunk(key, *job, chunk);
+  const RecordKey record = ParseRecordKey(key);
+  switch (record.kind) {
+    case RecordKind::kJob: {
+      Job* job = state_.FindJob(record.id);
+      if (job == nullptr) return std::nullopt;  // jobs are not archived while they are queued
+      return SerializeJob(key, job);
+    }
+    case RecordKind::kScaleOut: {
+      const auto it = state_.scale_outs.find(record.id);
+      if (it == state_.scale_outs.end()) return std::nullopt;
+      if (it->second->Answered() && it->second->machines.empty()) return std::nullopt;
+      return SerializeScaleOut(key, *it->second);
+    }
+    case RecordKind::kMachineType: {
+      const auto it = state_.types.find(record.id);
+      if (it == state_.types.end()) return std::nullopt;
+      return wire::ToJson(it->second);
+    }
+    case RecordKind::kProgress: {
+      const Job* job = state_.FindJob(record.id);
+      if (job == nullptr || job->final_state != FinalState::kNone) return std::nullopt;
+      return progress_.SerializeChunk(key, *job, record.chunk);
+    }
+    case RecordKind::kForeign:
+    case RecordKind::kMalformed:
+      break;
   }
   return std::nullopt;
 }
@@ -220,49 +230,47 @@
 void DurableState::OnStored(const std::string& key, double now) {
   state_.schedule_due = true;
   const InFlightWrite in_flight = queue_.CompleteWrite(key);
-  if (StartsWith(key, kMachinePrefix)) {
-    OnScaleOutStored(key, in_flight.dispatch_marks);
-  } else if (StartsWith(key, kDonePrefix)) {
-    const std::string rest = key.substr(kDonePrefix.size());
-    const size_t slash = rest.find('/');
-    Job* job = state_.FindJob(rest.substr(0, slash));
-    if (job == nullptr) return;
-    progress_.MarkStored(job, in_flight.done);
-    progress_.OnChunkStored(
-        job, static_cast<uint32_t>(std::strtoul(rest.c_str() + slash + 1, nullptr, 10)));
-  } else if (StartsWith(key, kJobPrefix)) {
-    Job* job = state_.FindJob(key.substr(kJobPrefix.size()));
+  const RecordKey record = ParseRecordKey(key);
+  if (record.kind == RecordKind::kScaleOut) {
+    OnScaleOutStored(record.id, in_flight.dispatch_marks);
+  } else if (record.kind == RecordKind::kProgress) {
+    Job* job = state_.FindJob(record.id);
     if (job == nullptr) return;
     progress_.MarkStored(job, in_flight.done);
-    job->stored = true;
-    state_.admission.OnStored(job->spec.id, now);
-    state_.durable_state_changes.push_back(job->spec.id);
-    if (in_flight.final_state == FinalState::kNone) {
-      progress_.OnJobRecordStored(job, in_flight.chunk);
-    } else if (job->final_state == FinalState::kNone) {
-      Finalize(job, in_flight.final_state, now);
-    }
+    progress_.OnChunkStored(job, record.chunk);
+  } else if (record.kind == RecordKind::kJob) {
+    if (Job* job = state_.FindJob(record.id)) OnJobStored(job, in_flight, now);
+  }
+}
+
+void DurableState::OnJobStored(Job* job, const InFlightWrite& in_flight, double now) {
+  progress_.MarkStored(job, in_flight.done);
+  job->stored = true;
+  state_.admission.OnStored(job->spec.id, now);
+  state_.durable_state_changes.push_back(job->spec.id);
+  if (in_flight.final_state == FinalState::kNone) {
+    progress_.OnJobRecordStored(job, in_flight.chunk);
+  } else if (job->final_state == FinalState::kNone) {
+    Finalize(job, in_flight.final_state, now);
   }
 }
 
-void DurableState::OnScaleOutStored(const std::string& key,
+void DurableState::OnScaleOutStored(const std::string& name,
                                     const std::vector<std::string>& dispatch_marks) {
-  const std::string name = key.substr(kMachinePrefix.size());
   const auto it = state_.scale_outs.find(name);
   if (it == state_.scale_outs.end()) return;
   ScaleOutRecord* scale_out = it->second.get();
   scale_out->OnStored();
   for (const std::string& id : dispatch_marks) {
-    const auto m = state_.machines.find(id);
-    if (m == state_.machines.end() || m->second->record != name) continue;
+    Machine* machine = state_.FindMachine(id);
+    if (machine == nullptr || machine->record != name) continue;
     scale_out->machines[id] = true;
-    m->second->dispatchable = true;
+    machine->dispatchable = true;
   }
-  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(key))
+  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(ScaleOutKey(name)))
     state_.scale_outs.erase(it);
 }
 
-// The job's end is durable.
 void DurableState::Finalize(Job* job, FinalState state, double now) {
   job->final_state = state;
   if (state_.active_jobs.erase({job->accepted_ms, job->spec.id}) > 0)
@@ -271,7 +279,7 @@
     for (TaskState& task : job->tasks) task = TaskState::kDone;
     job->done_stored = job->spec.tasks;
   }
-  // Nothing of a finished job may run on: strays of a done job, everything of a cancelled one.
+  // Nothing of a finished job may run on: duplicates of a done job's tasks, all of a cancelled one.
   attempts_.StopJob(job, now);
   progress_.DeleteChunks(*job);
   attempts_.ArchiveJobIfFinished(job);
--- a/src/core/durable_state.h
+++ b/src/core/durable_state.h
@@ -28,17 +28,27 @@
         registry_(*registry),
         reconciler_(*reconciler) {}
 
+  // Loads one stored record; every one, then FinishLoading, once a term. Returns false for a record
+  // that can't be understood.
   bool LoadRecord(const std::string& key, const wire::Json& value);
+  // `now`: seconds on the steady clock.
   void FinishLoading(double now);
+  // The record's value as it should be stored now; nullopt if the key should not exist. What the
+  // value covers is kept in the record queue until OnStored or RecordQueue::Requeue.
   std::optional<wire::Json> Serialize(const std::string& key);
+  // The value that Serialize returned last for the key became durable.
   void OnStored(const std::string& key, double now);
 
  private:
   bool LoadJob(const std::string& id, const wire::Json& value);
   bool LoadScaleOut(const std::string& name, const wire::Json& value);
+  bool LoadMachineType(const wire::Json& value);
+  void ApplyLoadedProgress();
   wire::Json SerializeJob(const std::string& key, Job* job);
   wire::Json SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out);
-  void OnScaleOutStored(const std::string& key, const std::vector<std::string>& dispatch_marks);
+  void OnJobStored(Job* job, const InFlightWrite& in_flight, double now);
+  void OnScaleOutStored(const std::string& name, const std::vector<std::string>& dispatch_marks);
+  // The job's end became durable.
   void Finalize(Job* job, FinalState state, double now);
 
   ClusterState& state_;
--- a/src/core/gang.cc
+++ b/src/core/gang.cc
@@ -13,7 +13,7 @@
                                                                          : GangState::kPlacing;
     case GangState::kWaiting:
       if (event == GangEvent::kSeenRunning) return GangState::kRunning;
-      // The rest keeps waiting for a replacement.
+      // The other tasks keep waiting for a replacement.
       if (event == GangEvent::kTaskLost) return GangState::kWaiting;
       break;
     case GangState::kRunning:
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -1,6 +1,6 @@
-// The life of a gang: a job whose tasks run at the same time or not at all. Workers let the tasks
-// of one attempt go when the last of them has its image; what becomes of one task is the fate of
-// all. Placement, preemption, spot notices, takeover and completion ask here what a gang may do
+// The state machine of a gang: a job whose tasks run at the same time or not at all. Workers start
+// the tasks of one attempt together when the last of them has its image, and end them all when one
+// ends. Placement, preemption, spot notices, failover and completion ask here what a gang may do
 // next.
 #ifndef ZINCLEAD_CORE_GANG_H_
 #define ZINCLEAD_CORE_GANG_H_
@@ -13,24 +13,24 @@
 
 enum class GangState : uint8_t {
   kPlacing,   // no attempt is under way; all tasks may be started together
-  kWaiting,   // an attempt was given out and is not known to have run
+  kWaiting,   // an attempt was started and is not known to have run
   kRunning,   // the attempt has run: none of its tasks can be replaced any more
-  kStopping,  // the attempt is over; nothing starts until all its tasks have left their machines
+  kStopping,  // the attempt has failed; nothing starts until all its tasks have left their machines
   kEnded,     // the gang's work is done
 };
 
 enum class GangEvent : uint8_t {
   kPlaced,       // all tasks were placed, with one attempt number
-  kAdopted,      // a report shows a task of an attempt that an earlier leader gave out
-  kSeenRunning,  // a report shows a task that runs, saves, or has ended because its peers did
-  kTaskLost,     // a task is on its machine no more and is not done
+  kAdopted,      // a heartbeat lists a task of an attempt that an earlier leader started
+  kSeenRunning,  // a heartbeat lists a task that runs, saves, or has ended because its peers did
+  kTaskLost,     // a task is not on its machine any more and is not done
   kGaveUp,       // a task ended because the gang was not complete in time
   kStopWanted,   // the scheduler wants the whole gang stopped
   kCleared,      // no task of it can be on a machine any more
   kDone,         // a task is done, and so are all
 };
 
-// The state after `event`.
+// The state after `event`; an event that means nothing in `state` leaves it as it is.
 GangState NextGangState(GangState state, GangEvent event);
 
 class Gang {
@@ -48,9 +48,10 @@
   void OnAdopted(uint64_t attempt);
   void On(GangEvent event) { state_ = NextGangState(state_, event); }
 
-  // Attempts in a row that were never complete; a gang that has run starts anew with none.
-  int give_ups() const { return give_ups_; }
+  // A task ended because the attempt was not complete in time.
   void OnGaveUp();
+  // The attempts that were never complete.
+  int give_ups() const { return give_ups_; }
 
  private:
   GangState state_ = GangState::kPlacing;
@@ -59,9 +60,10 @@
   int give_ups_ = 0;
 };
 
-// Whether commands in answers to reports reach all tasks of a gang within `gang_peer_s` of the
-// first, so that a stop loses no progress: each machine reports after `heartbeat_interval_s` and a
-// quarter at the latest. Where that is too slow a gang is stopped without saving.
+// Whether commands in responses to heartbeats reach all tasks of a gang within `gang_peer_s` of the
+// first, so that a stop loses no progress: each machine sends a heartbeat after
+// `heartbeat_interval_s` and a quarter at the latest. Where that is too slow a gang is stopped
+// without saving.
 bool CanStopGracefully(const config::Settings& settings);
 
 }  // namespace zinclead::core
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -1,4 +1,5 @@
-// A job as the leader sees it: its description, the state of its tasks and their attempts.
+// A job as the leader sees it: its description, the state of its tasks and their attempts. Times
+// are seconds on the steady clock.
 #ifndef ZINCLEAD_CORE_JOB_H_
 #define ZINCLEAD_CORE_JOB_H_
 
@@ -33,14 +34,14 @@
 enum class ChunkSplit : uint8_t { kNone, kCollapsing, kWritingChunks, kSwitching };
 
 struct Job {
-  uint64_t serial = 0;
+  uint64_t serial = 0;  // in the order in which this term accepted or loaded it
   wire::JobSpec spec;
   Resources request;
-  int64_t accepted_ms = 0;  // time of day, for the record
-  double accepted_at = 0;   // the same on this node's steady clock
-  bool stored = false;      // accepted durably
-  bool inherited = false;   // accepted in an earlier term
-  bool cancel_wanted = false;
+  int64_t accepted_ms = 0;                     // time of day, for the record
+  double accepted_at = 0;                      // the same on the steady clock
+  bool stored = false;                         // accepted durably
+  bool inherited = false;                      // accepted in an earlier term
+  bool cancel_wanted = false;                  // a user has cancelled it; may not be durable yet
   FinalState final_state = FinalState::kNone;  // durable
   uint32_t done_chunk = 0;                     // tasks a chunk of the done set covers
   ChunkSplit chunk_split = ChunkSplit::kNone;
@@ -55,16 +56,16 @@
   uint32_t running = 0;
   std::unordered_set<Attempt*> attempts;    // known on any machine, ended ones included
   bool started = false;                     // some task has run, as far as this term knows
-  bool considered = false;                  // a whole pass has looked for room for it
+  bool considered = false;                  // a whole scheduling cycle has tried to place it
   std::map<std::string, double> failed_on;  // machines on which a task ended with an error, when
-  double not_before = 0;
-  std::optional<Gang> gang;  // of a job whose tasks run together
+  double not_before = 0;                    // it backs off until then
+  std::optional<Gang> gang;                 // of a job whose tasks run together
 
   bool Live() const { return final_state == FinalState::kNone && !cancel_wanted; }
   bool AllDone() const { return done == spec.tasks; }
 };
 
-// What users may be told of a job.
+// What users may be told of a job: durable state, and how many tasks run.
 struct JobView {
   wire::JobPhase phase = wire::JobPhase::kPending;
   uint32_t done = 0;
--- a/src/core/progress_records.cc
+++ b/src/core/progress_records.cc
@@ -24,10 +24,8 @@
 
 uint32_t ProgressRecords::ChunkSize() const { return ProgressChunkSize(state_.settings); }
 
-// The done tasks of a chunk as text. What is durable already must stay in it; of the rest as much
-// as fits `max_bytes`, and more follows when the text has become shorter. If not even what is
-// durable fits, all of it is returned: the state service refuses that, or takes it while its limits
-// last.
+// If not even what is durable fits, all of it is returned: the state service refuses that, or
+// accepts it while its limits last.
 std::string ProgressRecords::SerializeDoneSet(const Job& job, uint32_t first, uint32_t count,
                                               size_t max_bytes,
                                               std::vector<uint32_t>* covered) const {
@@ -68,8 +66,8 @@
 }
 
 void ProgressRecords::EnqueueProgress(Job* job, uint32_t index) {
-  // Written when the split is over. Until then the job's record must not change: what it shows as
-  // done has to be in the smaller chunks before it says their size.
+  // Written when the split is finished. Until then the job's record must not change: what it shows
+  // as done has to be in the smaller chunks before it says their size.
   if (job->chunk_split != ChunkSplit::kNone) return;
   const uint32_t chunk = index / job->done_chunk;
   queue_.Enqueue(chunk == 0 ? JobKey(job->spec.id) : ProgressKey(job->spec.id, chunk),
@@ -79,13 +77,13 @@
 void ProgressRecords::BeginChunkSplit(Job* job) {
   const wire::Json record{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
   const size_t description = record.dump().size();
-  const size_t most = state_.settings.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
-  if (description > most) return;  // its record can't be written any more, whatever the chunk
+  const size_t max_bytes = state_.settings.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
+  if (description > max_bytes) return;  // its record can't be written, whatever the chunk size
   if (job->spec.tasks <= job->done_chunk) return WriteChunks(job);
   std::vector<uint32_t> covered;
   const std::string done = SerializeDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
   // What does not fit one record stays in the chunks that it has, each with as much as fits.
-  if (description + done.size() > most) return;
+  if (description + done.size() > max_bytes) return;
   job->chunk_split = ChunkSplit::kCollapsing;
   queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
@@ -121,7 +119,7 @@
 }
 
 void ProgressRecords::DeleteChunks(const Job& job) {
-  // Of a split that is not over there may be records in chunks of either size.
+  // Of a split that is not finished there may be records in chunks of either size.
   const uint32_t size = std::min(job.done_chunk, ChunkSize());
   for (uint32_t chunk = 1; uint64_t{chunk} * size < job.spec.tasks; ++chunk) {
     queue_.Enqueue(ProgressKey(job.spec.id, chunk), Importance::kBackground);
--- a/src/core/record_queue.cc
+++ b/src/core/record_queue.cc
@@ -12,7 +12,8 @@
 void RecordQueue::Insert(const std::string& key, Position position) {
   const auto [it, added] = queued_.emplace(key, position);
   if (!added) {
-    // It keeps its place among its like: what changes all the time must not starve the rest.
+    // It keeps its place among keys of its importance: a record that changes all the time must not
+    // starve the rest.
     position.since = std::min(position.since, it->second.since);
     position.importance = std::min(position.importance, it->second.importance);
     order_.erase(it->second);
@@ -30,7 +31,7 @@
   while (!order_.empty() && keys.size() < max) {
     const auto first = order_.begin();
     keys.push_back(first->second);
-    taken_[first->second] = first->first;
+    dequeued_[first->second] = first->first;
     queued_.erase(first->second);
     order_.erase(first);
   }
@@ -38,14 +39,14 @@
 }
 
 Importance RecordQueue::ImportanceOf(const std::string& key) const {
-  const auto it = taken_.find(key);
-  return it == taken_.end() ? Importance::kNormal : it->second.importance;
+  const auto it = dequeued_.find(key);
+  return it == dequeued_.end() ? Importance::kNormal : it->second.importance;
 }
 
 InFlightWrite& RecordQueue::BeginWrite(const std::string& key) { return writes_[key] = {}; }
 
 InFlightWrite RecordQueue::CompleteWrite(const std::string& key) {
-  taken_.erase(key);
+  dequeued_.erase(key);
   const auto it = writes_.find(key);
   if (it == writes_.end()) return {};
   InFlightWrite write = std::move(it->second);
@@ -55,12 +56,12 @@
 
 void RecordQueue::Requeue(const std::string& key) {
   writes_.erase(key);
-  const auto it = taken_.find(key);
-  if (it == taken_.end()) return Enqueue(key, Importance::kNormal);
-  // With the importance and the place it had: what could not be written must not push ahead of
-  // users.
+  const auto it = dequeued_.find(key);
+  if (it == dequeued_.end()) return Enqueue(key, Importance::kNormal);
+  // With the importance and the place it had: a record that could not be written must not get ahead
+  // of users' requests.
   const Position position = it->second;
-  taken_.erase(it);
+  dequeued_.erase(it);
   Insert(key, position);
 }
 
--- a/src/core/record_queue.h
+++ b/src/core/record_queue.h
@@ -1,5 +1,6 @@
 // The write-behind queue of records: keys whose stored value is out of date, ordered by importance
-// and then by age, and the writes that are under way.
+// and then by age, and the writes that are in flight. It holds keys only; values are serialized
+// when a key is dequeued, so a write always holds the latest state.
 #ifndef ZINCLEAD_CORE_RECORD_QUEUE_H_
 #define ZINCLEAD_CORE_RECORD_QUEUE_H_
 
@@ -15,7 +16,7 @@
 
 namespace zinclead::core {
 
-// What a record that was serialized and is not stored yet says.
+// What the value of a record covers that was serialized and is not stored yet.
 struct InFlightWrite {
   std::vector<uint32_t> done;               // tasks whose completion it covers
   std::vector<std::string> dispatch_marks;  // machines that it says are dispatchable
@@ -25,24 +26,26 @@
 
 class RecordQueue {
  public:
-  // Queues the key. A key that is queued already keeps its place among its like, or moves up.
+  // Queues the key. A key that is queued already keeps its age, and the greater importance holds.
   void Enqueue(const std::string& key, Importance importance);
 
   bool empty() const { return queued_.empty(); }
   bool Contains(const std::string& key) const { return queued_.contains(key); }
   // The importance of the first key; kBackground if there is none.
   Importance FirstImportance() const;
-  // Takes up to `max` keys: the most important first, the oldest of those first.
+  // Takes up to `max` keys: the most important first, the oldest of those first. Each key must be
+  // given back by CompleteWrite or Requeue.
   std::vector<std::string> Dequeue(size_t max);
-  // Of a key that was taken and is neither stored nor requeued yet.
+  // The importance of a key that was dequeued and is neither stored nor requeued yet; kNormal for
+  // any other.
   Importance ImportanceOf(const std::string& key) const;
 
-  // Starts to note what the value that is being serialized for the key covers.
+  // Starts a write of the key; the caller fills in what the serialized value covers.
   InFlightWrite& BeginWrite(const std::string& key);
   bool HasWriteInFlight(const std::string& key) const { return writes_.contains(key); }
-  // The value was stored: returns what it covers.
+  // The value was stored: returns what it covers, nothing if no write was begun.
   InFlightWrite CompleteWrite(const std::string& key);
-  // The value was not stored: the key goes back to the place it had.
+  // The value was not stored: the key is queued again with the importance and age it had.
   void Requeue(const std::string& key);
 
  private:
@@ -55,7 +58,7 @@
 
   std::unordered_map<std::string, Position> queued_;
   std::map<Position, std::string> order_;
-  std::unordered_map<std::string, Position> taken_;
+  std::unordered_map<std::string, Position> dequeued_;
   std::unordered_map<std::string, InFlightWrite> writes_;
   uint64_t next_position_ = 1;
 };
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -10,27 +10,28 @@
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
-    memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memory_gb += other.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
-    memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    memory_gb -= other.memory_gb;
     return *this;
   }
-  // Sums of decimal amounts are compared with a slack far below any amount in use.
-  bool Fits(const Resources& room) const {
+  // Whether this fits `available`. Sums of decimal amounts are compared with a slack far below any
+  // amount in use.
+  bool Fits(const Resources& available) const {
     constexpr double kSlack = 1e-6;
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
-           memory_gb <= room.memory_gb + kSlack;
+    return cpus <= available.cpus + kSlack && gpus <= available.gpus + kSlack &&
+           memory_gb <= available.memory_gb + kSlack;
   }
 };
 
-// What each task of the job takes of its machine.
+// What each task of the job allocates on its machine.
 inline Resources RequestOf(const wire::JobSpec& spec) {
   return {spec.cpus, spec.gpus, spec.memory_gb};
 }
--- a/src/core/task_set.h
+++ b/src/core/task_set.h
@@ -1,4 +1,4 @@
-// Compact text for a set of task numbers: "0-5,7,9-12". The state service keeps done tasks so.
+// Compact text for a set of task numbers: "0-5,7,9-12". Done tasks are stored in this form.
 #ifndef ZINCLEAD_CORE_TASK_SET_H_
 #define ZINCLEAD_CORE_TASK_SET_H_
 
@@ -10,7 +10,7 @@
 
 namespace zinclead::core {
 
-// `has(i)` for i in [0, count).
+// The text of the set of all i in [0, count) for which `has(i)` holds.
 template <typename F>
 std::string EncodeTaskSet(uint32_t count, F&& has) {
   std::string out;
@@ -30,27 +30,27 @@
 }
 
 // Calls `add` for each number. Returns false when the text is malformed or names a number that is
-// not below `count`; numbers before the fault have been added then.
+// not below `count`; numbers before the error have been added then.
 template <typename F>
 bool DecodeTaskSet(std::string_view text, uint32_t count, F&& add) {
-  const char* p = text.data();
-  const char* const end = p + text.size();
-  while (p != end) {
+  const char* position = text.data();
+  const char* const end = position + text.size();
+  while (position != end) {
     uint32_t first = 0;
-    auto [q, status] = std::from_chars(p, end, first);
+    auto [range_end, status] = std::from_chars(position, end, first);
     if (status != std::errc()) return false;
     uint32_t last = first;
-    if (q != end && *q == '-') {
-      const auto [r, status2] = std::from_chars(q + 1, end, last);
-      if (status2 != std::errc()) return false;
-      q = r;
+    if (range_end != end && *range_end == '-') {
+      const auto [last_end, last_status] = std::from_chars(range_end + 1, end, last);
+      if (last_status != std::errc()) return false;
+      range_end = last_end;
     }
     if (last < first || last >= count) return false;
     for (uint32_t i = first; i <= last; ++i) add(i);
-    p = q;
-    if (p != end) {
-      if (*p != ',' || p + 1 == end) return false;
-      ++p;
+    position = range_end;
+    if (position != end) {
+      if (*position != ',' || position + 1 == end) return false;
+      ++position;
     }
   }
   return true;
--- a/src/core/token_bucket.cc
+++ b/src/core/token_bucket.cc
@@ -5,7 +5,7 @@
 namespace zinclead::core {
 namespace {
 
-// Rounding: a caller that has waited as long as it was told to gets its token.
+// Rounding: a caller that has waited for the time that Wait named gets its token.
 constexpr double kSlack = 1e-9;
 
 }  // namespace
@@ -17,14 +17,14 @@
 }
 
 double TokenBucket::Reserve(Importance importance) const {
-  // Of the burst, an eighth a step is kept for each greater importance.
+  // An eighth of the burst is kept for each greater importance.
   return burst_ * static_cast<double>(importance) / 8;
 }
 
 bool TokenBucket::Take(double now, double amount, Importance importance) {
   level_ = Level(now);
   at_ = std::max(at_, now);
-  // An amount that could never fit is let through when the bucket is as full as it gets.
+  // An amount that could never fit is granted when the bucket is full.
   const double request = std::min(amount + Reserve(importance), burst_);
   if (level_ + kSlack < request) return false;
   level_ -= amount;
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -305,16 +305,14 @@
     if (view && view->final) return reply({200, 0, wire::JobStatusBody(spec.id, view->phase)});
     return reply(ServiceUnavailable("the state service does not answer"));
   }
-  std::string error;
-  SubmitOutcome outcome{};
-  admission::Decision busy;
+  core::SubmitResult result;
   std::optional<core::Cluster::JobView> view;
   {
     const std::lock_guard lock(scheduler_->mutex);
-    outcome = cluster_->Submit(spec, now, net::WallNow(), &error, &busy);
+    result = cluster_->Submit(spec, now, net::WallNow());
     view = cluster_->View(spec.id);
   }
-  switch (outcome) {
+  switch (result.outcome) {
     case SubmitOutcome::kKnown:
       return reply({200, 0, wire::JobStatusBody(spec.id, view->phase)});
     case SubmitOutcome::kAccepted:
@@ -325,10 +323,10 @@
           {std::move(reply), now + kPatienceShare * wire::kSubmitTimeoutS, true});
       return AfterChange();
     case SubmitOutcome::kUnprocessable:
-      return reply({422, 0, wire::ErrorBody(error)});
+      return reply({422, 0, wire::ErrorBody(result.reason)});
     case SubmitOutcome::kBusy:
       return reply(
-          {429, busy.retry_after_s, wire::ErrorBody("too many active jobs, come back later")});
+          {429, result.retry_after_s, wire::ErrorBody("too many active jobs, come back later")});
     case SubmitOutcome::kUndecided:
       return reply(ServiceUnavailable("the machine types are not known yet"));
   }
--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -29,10 +29,9 @@
 }
 
 void World::Accept(wire::JobSpec spec) {
-  std::string error;
   const std::string id = spec.id;
-  ASSERT_EQ(Current().cluster->Submit(spec, now_, 1e6 + now_, &error), SubmitOutcome::kAccepted)
-      << error;
+  const SubmitResult result = Current().cluster->Submit(spec, now_, 1e6 + now_);
+  ASSERT_EQ(result.outcome, SubmitOutcome::kAccepted) << result.reason;
   told_[id].spec = std::move(spec);
   ASSERT_TRUE(RunUntil([&] { return told_.at(id).accepted; }, 10));
 }
@@ -77,8 +76,7 @@
 void World::SubmitAgain(const std::string& id) {
   wire::JobSpec other = told_.at(id).spec;
   other.cpus = 1e6;
-  std::string error;
-  EXPECT_EQ(Current().cluster->Submit(other, now_, 1e6 + now_, &error), SubmitOutcome::kKnown);
+  EXPECT_EQ(Current().cluster->Submit(other, now_, 1e6 + now_).outcome, SubmitOutcome::kKnown);
 }
 
 void World::LoseTasks(const std::vector<std::string>& machines) {
@@ -294,8 +292,7 @@
     spec.checkpoint_s = 4;
     spec.save_s = 1;
   }
-  std::string error;
-  const SubmitOutcome outcome = Current().cluster->Submit(spec, now_, 1e6 + now_, &error);
+  const SubmitOutcome outcome = Current().cluster->Submit(spec, now_, 1e6 + now_).outcome;
   if (outcome == SubmitOutcome::kAccepted) told_[spec.id].spec = spec;
 }
 
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -35,8 +35,7 @@
   }
   bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
   void Submit(const std::string& id) {
-    std::string error;
-    ASSERT_EQ(cluster_->Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow(), &error),
+    ASSERT_EQ(cluster_->Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow()).outcome,
               core::SubmitOutcome::kAccepted);
     committer_->Flush();
   }
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -208,10 +208,10 @@
 
   void RunScenario() {
     NextLeader();
-    std::string error;
     wire::JobSpec spec = testing::MakeJob("req-1", tasks_);
     spec.cpus = spec.memory_gb = 0.001;
-    ASSERT_EQ(leader_->Submit(spec, now_, 1000 + now_, &error), SubmitOutcome::kAccepted) << error;
+    const SubmitResult result = leader_->Submit(spec, now_, 1000 + now_);
+    ASSERT_EQ(result.outcome, SubmitOutcome::kAccepted) << result.reason;
     for (int step = 0; !Over(); ++step) {
       ASSERT_LT(step, 5000) << "stalled with " << stored_ << " of " << tasks_ << " stored";
       if (step == lowered_at_) {
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -41,8 +41,7 @@
     }
   }
   SubmitOutcome Submit(const wire::JobSpec& spec) {
-    std::string error;
-    return cluster_->Submit(spec, now_, 1000 + now_, &error);
+    return cluster_->Submit(spec, now_, 1000 + now_).outcome;
   }
   // The machine's next report, with no tasks yet.
   wire::Heartbeat MakeReport(const std::string& id, uint64_t fencing_token) {
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -187,8 +187,7 @@
 
 TEST_F(GangCoreTest, NothingIsRefusedBeforeTheTypesAreKnown) {
   Cluster fresh(settings_, operator_settings_, 99, now_, 1000 + now_, 1);
-  std::string error;
-  EXPECT_EQ(fresh.Submit(MakeGang(2), now_, 1000 + now_, &error), SubmitOutcome::kUndecided);
+  EXPECT_EQ(fresh.Submit(MakeGang(2), now_, 1000 + now_).outcome, SubmitOutcome::kUndecided);
 }
 
 // That the gang was not complete in time is no machine's fault, and is tried again after a pause.
