--- a/src/core/scheduling/upcoming_capacity.cc
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -36,7 +36,7 @@
         {{machine->type_name, machine->zone, machine->spot}, AvailableOn(state, *machine)});
   }
   for (const auto& [name, scale_out] : state.scale_outs) {
-    if (scale_out->answered) continue;
+    if (scale_out->Answered()) continue;
     const auto type = state.types.find(scale_out->type);
     if (type == state.types.end()) continue;
     AddMachines(type->second, {scale_out->type, scale_out->zone, scale_out->spot},
--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -39,15 +39,13 @@
   const wire::JobSpec& spec = submission.spec;
   const double now = net::SteadyNow();
   if (!elector_->Valid(now)) return SubmitWithoutLease(spec.id, reply);
-  SubmitOutcome outcome{};
-  std::string error;
-  admission::Decision busy;
+  core::SubmitResult result;
   std::optional<JobView> view;
   cluster_->WithLock([&](core::Cluster& cluster) {
-    outcome = cluster.Submit(spec, now, net::WallNow(), &error, &busy);
+    result = cluster.Submit(spec, now, net::WallNow());
     view = cluster.View(spec.id);
   });
-  switch (outcome) {
+  switch (result.outcome) {
     case SubmitOutcome::kKnown:
       return reply(JobStatus(spec.id, view->phase));
     case SubmitOutcome::kAccepted:
@@ -58,9 +56,9 @@
                    now + kPendingTimeoutShare * wire::kSubmitTimeoutS, reply);
       return on_change_();
     case SubmitOutcome::kUnprocessable:
-      return reply({422, 0, wire::ErrorBody(error)});
+      return reply({422, 0, wire::ErrorBody(result.reason)});
     case SubmitOutcome::kBusy:
-      return reply(TooManyRequests(busy.retry_after_s, "too many active jobs, come back later"));
+      return reply(TooManyRequests(result.retry_after_s, "too many active jobs, come back later"));
     case SubmitOutcome::kUndecided:
       return reply(ServiceUnavailable("the machine types are not known yet"));
   }
