--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -6,6 +6,7 @@
 
 #include <CLI/CLI.hpp>
 #include <cstdlib>
+#include <exception>
 #include <iostream>
 #include <string>
 
@@ -16,11 +17,26 @@
 
 namespace {
 
+using zinclead::config::OperatorSettings;
+using zinclead::config::Settings;
+
+constexpr int kExitFailed = 1;
+constexpr int kExitInvalidSettings = 2;
+
+constexpr int kTrimThresholdBytes = 1024 * 1024;
+
+struct Options {
+  std::string settings_path;
+  std::string operator_settings_path;  // empty: the defaults
+  bool check = false;
+};
+
+// Logs to standard error at the level that the environment variable LOG_LEVEL names.
 void SetUpLogging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("zinclead"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-  const char* wanted = std::getenv("LOG_LEVEL");
-  const std::string level = wanted == nullptr ? "info" : wanted;
+  const char* const configured = std::getenv("LOG_LEVEL");
+  const std::string level = configured == nullptr ? "info" : configured;
   spdlog::set_level(spdlog::level::info);
   if (level == "error") {
     spdlog::set_level(spdlog::level::err);
@@ -31,62 +47,78 @@
   }
 }
 
-void PrintAdmission(const zinclead::config::Settings& settings,
-                    const zinclead::config::OperatorSettings& operator_settings) {
+// The process has tens of megabytes: it uses one arena, and returns freed memory to the system.
+void LimitHeap() {
+  mallopt(M_ARENA_MAX, 1);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
+}
+
+// Reads both files. On failure writes one line to standard error and returns false.
+bool LoadConfiguration(const Options& options, Settings* settings,
+                       OperatorSettings* operator_settings) {
+  std::string error;
+  if (!zinclead::config::LoadSettings(options.settings_path, settings, &error)) {
+    std::cerr << "zinclead: " << options.settings_path << ": " << error << "\n";
+    return false;
+  }
+  if (options.operator_settings_path.empty()) return true;
+  if (!zinclead::config::LoadOperatorSettings(options.operator_settings_path, operator_settings,
+                                              &error)) {
+    std::cerr << "zinclead: " << options.operator_settings_path << ": " << error << "\n";
+    return false;
+  }
+  return true;
+}
+
+void PrintAdmissionLimits(const Settings& settings, const OperatorSettings& operator_settings) {
   for (const std::string& line : zinclead::admission::Describe(
            zinclead::admission::DeriveLimits(settings, operator_settings))) {
     std::cout << line << "\n";
   }
   for (const auto& [team, weight] : operator_settings.admission.team_weights) {
-    // Not an error: the platform may drop a team while controllers run.
+    // Not an error: the platform may remove a team while controllers run.
     if (settings.FindTeam(team) == nullptr) {
       std::cout << "admission: team \"" << team << "\" is not known to the platform\n";
     }
   }
 }
 
+// Runs the controller. Returns the exit code.
+int Serve(const Settings& settings, const OperatorSettings& operator_settings) {
+  LimitHeap();
+  SetUpLogging();
+  try {
+    zinclead::service::Node node(settings, operator_settings);
+    spdlog::info("node {} in zone {} listens on {}", settings.node, settings.zone,
+                 settings.listen.ToString());
+    node.Run();
+  } catch (const std::exception& error) {
+    std::cerr << "zinclead: " << error.what() << "\n";
+    return kExitFailed;
+  }
+  return EXIT_SUCCESS;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
+  Options options;
   CLI::App app{"zinclead: a cluster scheduler"};
   app.set_version_flag("--version", std::string("zinclead ") + ZINCLEAD_VERSION);
-  std::string config_path;
-  std::string operator_path;
-  bool check = false;
-  app.add_option("--config", config_path, "the platform's settings file (TOML)")->required();
-  app.add_option("--operator-config", operator_path, "the operators' own settings (XML)");
-  app.add_flag("--check", check, "check the settings and end");
+  app.add_option("--config", options.settings_path, "the platform's settings file (TOML)")
+      ->required();
+  app.add_option("--operator-config", options.operator_settings_path,
+                 "the operators' own settings (XML)");
+  app.add_flag("--check", options.check, "check the settings and end");
   CLI11_PARSE(app, argc, argv);
 
-  zinclead::config::Settings settings;
-  zinclead::config::OperatorSettings operator_settings;
-  std::string error;
-  if (!zinclead::config::LoadSettings(config_path, &settings, &error)) {
-    std::cerr << "zinclead: " << config_path << ": " << error << "\n";
-    return 2;
-  }
-  if (!operator_path.empty() &&
-      !zinclead::config::LoadOperatorSettings(operator_path, &operator_settings, &error)) {
-    std::cerr << "zinclead: " << operator_path << ": " << error << "\n";
-    return 2;
-  }
-  if (check) {
+  Settings settings;
+  OperatorSettings operator_settings;
+  if (!LoadConfiguration(options, &settings, &operator_settings)) return kExitInvalidSettings;
+  if (options.check) {
     std::cout << "settings are valid\n";
-    PrintAdmission(settings, operator_settings);
-    return 0;
-  }
-  // The process lives within tens of megabytes: one arena, and freed memory goes back.
-  mallopt(M_ARENA_MAX, 1);
-  mallopt(M_TRIM_THRESHOLD, 1024 * 1024);
-  SetUpLogging();
-  try {
-    zinclead::service::Node node(settings, operator_settings);
-    spdlog::info("node {} in zone {} listens on {}", settings.node, settings.zone,
-                 settings.listen.ToString());
-    node.Run();
-  } catch (const std::exception& e) {
-    std::cerr << "zinclead: " << e.what() << "\n";
-    return 1;
+    PrintAdmissionLimits(settings, operator_settings);
+    return EXIT_SUCCESS;
   }
-  return 0;
+  return Serve(settings, operator_settings);
 }
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -66,7 +66,7 @@
 
 void Elector::SchedulePoll(double delay_s) {
   state_ = State::kIdle;
-  timers_->After(Timers::kPoll, delay_s, [this] { PollLeader(); });
+  timers_->After(Timers::Slot::kPoll, delay_s, [this] { PollLeader(); });
 }
 
 void Elector::PollLeader() {
@@ -186,7 +186,7 @@
 }
 
 void Elector::ScheduleRenewal() {
-  timers_->After(Timers::kRenew, RenewalInterval(), [this] { Renew(); });
+  timers_->After(Timers::Slot::kRenew, RenewalInterval(), [this] { Renew(); });
 }
 
 void Elector::Renew() {
@@ -216,7 +216,7 @@
   if (!leading()) return;
   spdlog::info("no longer leader of term {}: {}", term_, reason);
   state_ = State::kIdle;
-  timers_->Cancel(Timers::kRenew);
+  timers_->Cancel(Timers::Slot::kRenew);
   store_->Revoke(lease_);
   if (leader_ == node_) leader_.clear();
   hooks_.on_leadership_lost();
--- a/src/election/elector.h
+++ b/src/election/elector.h
@@ -4,7 +4,6 @@
 #ifndef ZINCLEAD_ELECTION_ELECTOR_H_
 #define ZINCLEAD_ELECTION_ELECTOR_H_
 
-#include <array>
 #include <cstdint>
 #include <functional>
 #include <optional>
@@ -24,7 +23,7 @@
 // The clock and the timers of an elector. Tests pass their own.
 class Timers {
  public:
-  enum Slot { kPoll, kRenew };
+  enum class Slot { kPoll, kRenew };
   virtual ~Timers() = default;
   // Seconds on a clock that never goes back.
   virtual double Now() = 0;
@@ -39,13 +38,18 @@
   explicit LoopTimers(net::EventLoop* loop) : loop_(loop) {}
   double Now() override { return net::SteadyNow(); }
   void After(Slot slot, double delay_s, std::function<void()> task) override {
-    loop_->StartTimer(&timers_[slot], delay_s, std::move(task), net::Urgency::kUrgent);
+    loop_->StartTimer(&TimerOf(slot), delay_s, std::move(task), net::Urgency::kUrgent);
   }
-  void Cancel(Slot slot) override { timers_[slot].Cancel(); }
+  void Cancel(Slot slot) override { TimerOf(slot).Cancel(); }
 
  private:
+  net::EventLoop::Timer& TimerOf(Slot slot) {
+    return slot == Slot::kPoll ? poll_timer_ : renewal_timer_;
+  }
+
   net::EventLoop* const loop_;
-  std::array<net::EventLoop::Timer, 2> timers_;
+  net::EventLoop::Timer poll_timer_;
+  net::EventLoop::Timer renewal_timer_;
 };
 
 // Campaigns for leadership whenever there is no leader, renews the lease while leading, and keeps
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -47,8 +47,14 @@
       announcer_(&loop_, settings_.node, &elector_, &peers_, &leader_),
       forwarder_(&peers_, &elector_, admission_limits_,
                  kGrantLifeAnnouncements * announcer_.interval_s()),
-      router_({&settings_, &admission_limits_, &elector_, &peers_, &forwarder_, &announcer_,
-               &leader_, [this] { return CurrentHealth(); }}),
+      router_({.settings = &settings_,
+               .admission_limits = &admission_limits_,
+               .elector = &elector_,
+               .peers = &peers_,
+               .forwarder = &forwarder_,
+               .announcer = &announcer_,
+               .leader = &leader_,
+               .health = [this] { return CurrentHealth(); }}),
       public_server_(MakePublicServer()),
       peer_server_(MakePeerServer()) {
   loop_.LimitSlice(
@@ -96,15 +102,14 @@
 }
 
 void Node::OnElected(uint64_t term, const wire::VersionPrecondition& fence) {
-  Leader::Dependencies dependencies;
-  dependencies.loop = &loop_;
-  dependencies.settings = &settings_;
-  dependencies.operator_settings = &operator_settings_;
-  dependencies.store = &store_;
-  dependencies.cloud = &cloud_;
-  dependencies.elector = &elector_;
-  dependencies.scheduler_thread = &scheduler_thread_;
-  dependencies.isolated = [this] { return IsIsolated(CurrentHealth()); };
+  Leader::Dependencies dependencies{.loop = &loop_,
+                                    .settings = &settings_,
+                                    .operator_settings = &operator_settings_,
+                                    .store = &store_,
+                                    .cloud = &cloud_,
+                                    .elector = &elector_,
+                                    .scheduler_thread = &scheduler_thread_,
+                                    .isolated = [this] { return IsIsolated(CurrentHealth()); }};
   leader_ = std::make_unique<Leader>(std::move(dependencies), term, fence);
   announcer_.Announce();
 }
--- a/tests/elector_test.cc
+++ b/tests/elector_test.cc
@@ -1,23 +1,30 @@
-// Generated interleavings of elections: processes that end before, during and after their commit
-// and are back at once, with requests that are executed late, twice, or answered to nobody.
+// Generated histories of elections: processes end before, during and after their commit and restart
+// at once; requests are executed late or twice, and their answers are lost.
 
 #include "election/elector.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <array>
+#include <cstdint>
 #include <cstdlib>
+#include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <random>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "fixtures.h"
 
 namespace zinclead::election {
 namespace {
 
-constexpr double kTimeout = 1;  // after which a caller gives a request up
+constexpr double kRequestTimeoutS = 1;
 
 class Simulation {
  public:
@@ -25,13 +32,13 @@
 
   void Run() {
     for (int i = 0; i < 3; ++i) Start(i);
-    const double calm_at = 60;
-    double next_trouble = 1;
-    while (now_ < calm_at + 40) {
-      calm_ = now_ >= calm_at;
-      if (!calm_ && now_ >= next_trouble) {
-        Trouble();
-        next_trouble = now_ + Uniform(0.05, 3);
+    const double faults_end_at = 60;
+    double next_fault_at = 1;
+    while (now_ < faults_end_at + 40) {
+      faults_ended_ = now_ >= faults_end_at;
+      if (!faults_ended_ && now_ >= next_fault_at) {
+        InjectFault();
+        next_fault_at = now_ + Uniform(0.05, 3);
       }
       const double next = events_.empty() ? now_ + 0.05 : events_.begin()->first;
       now_ = std::min(next, now_ + 0.05);
@@ -41,18 +48,18 @@
         task();
       }
       ExpireLeases();
-      Check();
+      CheckLeadership();
     }
     int leading = 0;
     for (const auto& node : nodes_) leading += node != nullptr && node->elector->Valid(now_);
-    EXPECT_EQ(leading, 1) << "no leader once the troubles are over";
+    EXPECT_EQ(leading, 1) << "no leader after the faults have ended";
   }
 
   size_t terms() const { return terms_.size(); }
   int quick_restarts = 0;
-  int ended_electing = 0;  // a process ended while its election commit was under way
-  int executed_late = 0;   // ... and the commit was executed after that
-  int found_own_key = 0;   // a node found itself named as the leader that it was not
+  int ended_during_election = 0;  // a process ended while its election commit was under way
+  int executed_late = 0;          // ... and the commit was executed later
+  int found_own_key = 0;          // a node that did not lead found itself named in the leader key
 
  private:
   struct Node;
@@ -72,10 +79,10 @@
    private:
     Simulation* sim_;
     std::shared_ptr<bool> alive_;
-    std::array<uint64_t, 2> armed_{};
+    std::map<Slot, uint64_t> armed_;
   };
 
-  // One process' way to the state service.
+  // The state service as one process reaches it.
   class NodeStore : public state::LeaseStore {
    public:
     NodeStore(Simulation* sim, int node, std::shared_ptr<bool> alive)
@@ -106,14 +113,14 @@
                 const std::vector<wire::StoreWrite>& writes, core::Importance,
                 CommitDone done) override {
       auto revision = std::make_shared<uint64_t>(0);
-      ++electing;
+      ++elections_in_flight;
       Send(
           [this, conditions, writes, revision] {
             if (!*alive_) ++sim_->executed_late;
             return sim_->Commit(conditions, writes, revision.get());
           },
           [this, revision, done](state::Outcome outcome) {
-            --electing;
+            --elections_in_flight;
             done(outcome, *revision, {});
           });
     }
@@ -146,13 +153,13 @@
           [](state::Outcome) {});
     }
     void Watch(const std::string&, uint64_t after, double wait_s, WatchDone done) override {
-      Poll(after, sim_->now_ + wait_s, std::move(done));
+      PollForChange(after, sim_->now_ + wait_s, std::move(done));
     }
-    int electing = 0;
+    int elections_in_flight = 0;
 
    private:
-    // Executes with some delay, maybe late, twice or never, and answers the process if it still
-    // waits.
+    // Executes a request after a delay, which may be long, and sometimes twice or while the service
+    // is unavailable. Answers the process if it still waits, unless the answer is lost.
     void Send(const std::function<state::Outcome()>& execute,
               const std::function<void(state::Outcome)>& answer) {
       const auto finished = std::make_shared<bool>(false);
@@ -160,12 +167,12 @@
         if (!*alive || std::exchange(*finished, true)) return;
         answer(outcome);
       };
-      sim_->At(kTimeout, [reply] { reply(state::Outcome::kUnknown); });
-      const bool rough = !sim_->calm_;
+      sim_->At(kRequestTimeoutS, [reply] { reply(state::Outcome::kUnknown); });
+      const bool inject_faults = !sim_->faults_ended_;
       double delay = sim_->Uniform(0.002, 0.02);
-      if (rough && sim_->Chance(0.08)) delay = sim_->Uniform(0.1, 8);
-      const bool lost = rough && sim_->Chance(0.05);
-      if (rough && sim_->Chance(0.03)) {
+      if (inject_faults && sim_->Chance(0.08)) delay = sim_->Uniform(0.1, 8);
+      const bool lost = inject_faults && sim_->Chance(0.05);
+      if (inject_faults && sim_->Chance(0.03)) {
         sim_->At(delay + sim_->Uniform(0.01, 5), [execute] { execute(); });
       }
       sim_->At(delay, [this, execute, reply, lost] {
@@ -176,15 +183,15 @@
         if (!lost) sim_->At(sim_->Uniform(0.002, 0.02), [reply, outcome] { reply(outcome); });
       });
     }
-    void Poll(uint64_t after, double until, WatchDone done) {
+    void PollForChange(uint64_t after, double until, WatchDone done) {
       sim_->At(0.02, [this, alive = alive_, after, until, done = std::move(done)]() mutable {
         if (!*alive) return;
-        const bool out =
+        const bool unavailable =
             sim_->now_ < sim_->outage_until_ || sim_->now_ < sim_->rejected_until_[node_];
-        if (sim_->now_ >= until || (!out && sim_->leader_changed_ > after)) {
+        if (sim_->now_ >= until || (!unavailable && sim_->leader_changed_ > after)) {
           return done(state::Outcome::kOk);
         }
-        Poll(after, until, std::move(done));
+        PollForChange(after, until, std::move(done));
       });
     }
 
@@ -232,7 +239,7 @@
     nodes_[static_cast<size_t>(i)] = std::move(node);
   }
 
-  void Trouble() {
+  void InjectFault() {
     const auto i = static_cast<int>(random_() % 3);
     auto& node = nodes_[static_cast<size_t>(i)];
     switch (random_() % 4) {
@@ -245,9 +252,9 @@
         return;
       default:
         if (node == nullptr) return;
-        if (node->store->electing > 0) ++ended_electing;
+        if (node->store->elections_in_flight > 0) ++ended_during_election;
         *node->alive = false;
-        // What is on its way may still refer to it.
+        // Requests in flight may still refer to it.
         ended_.push_back(std::move(node));
         if (Chance(0.7)) {
           ++quick_restarts;
@@ -263,9 +270,9 @@
     for (const auto& write : writes) {
       if (write.lease && !leases_.contains(*write.lease)) return state::Outcome::kNoLease;
     }
-    for (const auto& c : conditions) {
-      const auto it = keys_.find(c.key);
-      if ((it == keys_.end() ? 0 : it->second.version) != c.version) {
+    for (const auto& condition : conditions) {
+      const auto it = keys_.find(condition.key);
+      if ((it == keys_.end() ? 0 : it->second.version) != condition.version) {
         return state::Outcome::kConflict;
       }
     }
@@ -285,15 +292,15 @@
     }
   }
   void ExpireLeases() {
-    std::vector<uint64_t> over;
+    std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_) {
-      if (now_ >= lease.ends) over.push_back(id);
+      if (now_ >= lease.ends) expired.push_back(id);
     }
-    for (const uint64_t id : over) EndLease(id);
+    for (const uint64_t id : expired) EndLease(id);
   }
 
-  // Who is sure to lead does: the key names it and its term.
-  void Check() {
+  // At most one node has a valid lease, and the leader key names it and its term.
+  void CheckLeadership() {
     int valid = 0;
     for (size_t i = 0; i < nodes_.size(); ++i) {
       if (nodes_[i] == nullptr || !nodes_[i]->elector->Valid(now_)) continue;
@@ -310,7 +317,7 @@
   const config::Settings settings_;
   const config::OperatorSettings operator_settings_;
   double now_ = 0;
-  bool calm_ = false;
+  bool faults_ended_ = false;
   double outage_until_ = 0;
   std::map<int, double> rejected_until_;
   std::multimap<double, std::function<void()>> events_;
@@ -325,29 +332,29 @@
 };
 
 TEST(Elector, OneLeaderATermThroughQuickRestartsAndLateCommits) {
-  const char* asked = std::getenv("ZINCLEAD_HISTORIES");
-  const uint64_t count = asked == nullptr ? 200 : std::strtoul(asked, nullptr, 10);
+  const char* const configured = std::getenv("ZINCLEAD_HISTORIES");
+  const uint64_t histories = configured == nullptr ? 200 : std::strtoul(configured, nullptr, 10);
   size_t terms = 0;
-  int quick = 0;
-  int electing = 0;
-  int late = 0;
-  int own = 0;
-  for (uint64_t seed = 1; seed <= count && !HasFailure(); ++seed) {
+  int quick_restarts = 0;
+  int ended_during_election = 0;
+  int executed_late = 0;
+  int found_own_key = 0;
+  for (uint64_t seed = 1; seed <= histories && !HasFailure(); ++seed) {
     SCOPED_TRACE("history " + std::to_string(seed));
     Simulation simulation(seed);
     simulation.Run();
     terms += simulation.terms();
-    quick += simulation.quick_restarts;
-    electing += simulation.ended_electing;
-    late += simulation.executed_late;
-    own += simulation.found_own_key;
+    quick_restarts += simulation.quick_restarts;
+    ended_during_election += simulation.ended_during_election;
+    executed_late += simulation.executed_late;
+    found_own_key += simulation.found_own_key;
   }
-  // The histories reached what they are about.
+  // The histories covered the cases that they are generated for.
   EXPECT_GT(terms, 500U);
-  EXPECT_GT(quick, 500);
-  EXPECT_GT(electing, 20);
-  EXPECT_GT(late, 10);
-  EXPECT_GT(own, 100);
+  EXPECT_GT(quick_restarts, 500);
+  EXPECT_GT(ended_during_election, 20);
+  EXPECT_GT(executed_late, 10);
+  EXPECT_GT(found_own_key, 100);
 }
 
 }  // namespace
--- a/tests/lease_renewal_test.cc
+++ b/tests/lease_renewal_test.cc
@@ -1,9 +1,9 @@
-// How a leader on a slow node keeps its lease: answers of the state service come late or never.
+// How a leader on a slow node renews its lease: answers of the state service are late or lost.
 
 #include <gtest/gtest.h>
 
-#include <array>
 #include <functional>
+#include <map>
 #include <utility>
 #include <vector>
 
@@ -33,11 +33,11 @@
 
  private:
   double now_ = 100;
-  std::array<double, 2> due_{};
-  std::array<std::function<void()>, 2> tasks_;
+  std::map<Slot, double> due_;
+  std::map<Slot, std::function<void()>> tasks_;
 };
 
-// Elects whoever asks, and leaves it to the test to answer renewals.
+// Elects every candidate, and leaves it to the test to answer renewals.
 class HoldingStore : public state::LeaseStore {
  public:
   void Get(const std::string&, core::Importance, GetDone done) override {
@@ -76,12 +76,12 @@
   Elector elector_{&timers_, &store_, testing::MakeSettings(), {}, {[](auto, auto) {}, [] {}}};
 };
 
-// On a node with 2.4% of a core a turn of the loop took half of the lease. A renewal that waited
-// for the answer to the one before it then came too late.
+// On a node with 2.4% of a core one iteration of the event loop took half of the lease. A renewal
+// that waited for the answer to the one before it was then sent after the lease had expired.
 TEST_F(LeaseRenewal, ALateAnswerDoesNotHoldUpTheNextRenewal) {
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   const double requested_at = timers_.Now();
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   ASSERT_EQ(store_.renewals(), 2U);
   // The later one is answered, the first is lost: the lease counts from when the later was asked.
   const double lease_s = elector_.lease_s();
@@ -90,28 +90,28 @@
   EXPECT_FALSE(elector_.Valid(requested_at + 1.3 * lease_s));
 }
 
-// A renewal's patience ended before the loop looked at the answer that was there, and its
-// connection with it.
+// Renewals timed out before the event loop read the answer that had arrived, and their connections
+// were closed with them.
 TEST_F(LeaseRenewal, WaitsNearlyAsLongAsTheLeaseLives) {
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   EXPECT_GT(store_.timeout_s(), 0.8 * elector_.lease_s());
   EXPECT_LT(store_.timeout_s(), elector_.lease_s());
 }
 
-// While the state service is silent they don't pile up.
+// While the state service does not answer, renewals don't accumulate.
 TEST_F(LeaseRenewal, FewAreUnderWayAtOnce) {
-  for (int i = 0; i < 20; ++i) timers_.Fire(Timers::kRenew, 0);
+  for (int i = 0; i < 20; ++i) timers_.Fire(Timers::Slot::kRenew, 0);
   EXPECT_EQ(store_.renewals(), 2U);
   store_.Answer(0);
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   EXPECT_EQ(store_.renewals(), 3U);
 }
 
-// An answer says nothing of a time after it was asked for.
+// A renewal extends the lease from the time of its request, not of its answer.
 TEST_F(LeaseRenewal, AnOldAnswerDoesNotShortenOrStretchTheLease) {
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   const double first = timers_.Now();
-  timers_.Fire(Timers::kRenew, 0);
+  timers_.Fire(Timers::Slot::kRenew, 0);
   ASSERT_EQ(store_.renewals(), 2U);
   store_.Answer(1);
   const double lease_s = elector_.lease_s();
