--- a/bench/process_load.cc
+++ b/bench/process_load.cc
@@ -1,13 +1,17 @@
-// One real controller under the reports of many stand-in workers on loopback: prints what a report
-// costs it. Usage: zinclead_process_load PROGRAM MACHINES SECONDS
+// One real controller under the heartbeats of many fake workers on loopback: prints what a
+// heartbeat costs it. Usage: zinclead_process_load PROGRAM MACHINES SECONDS
 
 #include <cstdio>
 #include <cstdlib>
 #include <ctime>
+#include <memory>
 #include <string>
 
 #include "fault_injection/controller_processes.h"
-#include "fault_injection/fakes.h"
+#include "fault_injection/fakes/fake_cloud.h"
+#include "fault_injection/fakes/fake_store.h"
+#include "fault_injection/fakes/fake_worker.h"
+#include "fault_injection/fakes/run_until.h"
 #include "fixtures.h"
 
 namespace zinclead::bench {
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -45,8 +45,11 @@
        [this, done = std::move(done)](const net::Response& response) {
          if (response.status != 200) return done(std::nullopt);
          auto types = wire::ParseMachineTypes(response.body);
-         if (!types) client_.ReportMalformedResponse("list of machine types");
-         done(std::move(types));
+         if (!types) {
+           client_.ReportMalformedResponse("list of machine types");
+           return done(std::nullopt);
+         }
+         done(std::move(*types));
        });
 }
 
--- a/src/fault_injection/scenario_runner.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -19,7 +19,10 @@
 #include "config/settings.h"
 #include "core/token_bucket.h"
 #include "fault_injection/controller_processes.h"
-#include "fault_injection/fakes.h"
+#include "fault_injection/fakes/fake_cloud.h"
+#include "fault_injection/fakes/fake_store.h"
+#include "fault_injection/fakes/fake_worker.h"
+#include "fault_injection/fakes/run_until.h"
 #include "fault_injection/users.h"
 #include "wire/labels.h"
 
@@ -137,13 +140,14 @@
       store_(&loop_),
       write_tokens_(scenario.write_rps, scenario.write_rps),
       controllers_(&loop_, Options(options)) {
-  store_.inject_fault = [this](const wire::Json& transaction) { return InjectedFaultOf(transaction); };
+  store_.InjectFaults(
+      [this](const wire::Json& transaction) { return InjectedFaultOf(transaction); });
   const auto nodes = controllers_.Nodes();
-  cloud_ = std::make_unique<FakeCloud>(&loop_, std::vector<wire::MachineType>{ScenarioMachineType()},
-                                       [this, nodes](const wire::Heartbeat& identity) {
-                                         return std::make_unique<FakeWorker>(
-                                             &loop_, identity, nodes, kReportS, kTaskS);
-                                       });
+  cloud_ = std::make_unique<FakeCloud>(
+      &loop_, std::vector<wire::MachineType>{ScenarioMachineType()},
+      [this, nodes](const wire::Heartbeat& identity) {
+        return std::make_unique<FakeWorker>(&loop_, identity, nodes, kReportS, kTaskS);
+      });
   controllers_.SetEndpoints(cloud_->port(), store_.port());
   for (size_t i = 0; i < controllers_.count(); ++i) controllers_.Start(i);
   config::Settings settings;
@@ -349,7 +353,8 @@
 }
 
 // In order; jobs that were not accepted count as waiting for ever.
-std::vector<double> ScenarioRun::WaitsOf(const std::function<bool(const UserGroup&)>& wanted) const {
+std::vector<double> ScenarioRun::WaitsOf(
+    const std::function<bool(const UserGroup&)>& wanted) const {
   std::vector<double> waits;
   for (const SubmittedJob& job : users_->jobs()) {
     if (!wanted(job.group)) continue;
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -51,7 +51,12 @@
   evthread_use_pthreads();
   base_ = CreateBase();
   if (base_ == nullptr) throw std::runtime_error("cannot create the event loop");
-  wake_.reset(event_new(base_.get(), -1, EV_PERSIST, &EventLoop::OnWake, this));
+  // The type of the second argument is libevent's.
+  // NOLINTNEXTLINE(google-runtime-int)
+  const event_callback_fn on_wake = [](evutil_socket_t, short, void* loop) {
+    static_cast<EventLoop*>(loop)->RunPostedTasks();
+  };
+  wake_.reset(event_new(base_.get(), -1, EV_PERSIST, on_wake, this));
 }
 
 // A node that is given a small share of a core pays for a long burst of requests all at once: the
@@ -90,12 +95,6 @@
   event_active(wake_.get(), EV_TIMEOUT, 0);
 }
 
-// The type of the second argument is libevent's.
-// NOLINTNEXTLINE(google-runtime-int)
-void EventLoop::OnWake(evutil_socket_t, short, void* loop) {
-  static_cast<EventLoop*>(loop)->RunPostedTasks();
-}
-
 void EventLoop::RunPostedTasks() {
   std::vector<std::function<void()>> tasks;
   {
@@ -109,18 +108,20 @@
                            EventPriority priority) {
   timer->Cancel();
   timer->task_ = std::move(task);
-  timer->event_.reset(evtimer_new(base_.get(), &Timer::OnTimeout, timer));
+  // NOLINTNEXTLINE(google-runtime-int)
+  const event_callback_fn on_timeout = [](evutil_socket_t, short, void* expired) {
+    static_cast<Timer*>(expired)->Run();
+  };
+  timer->event_.reset(evtimer_new(base_.get(), on_timeout, timer));
   event_priority_set(timer->event_.get(), static_cast<int>(priority));
   const timeval delay = ToTimeval(delay_s);
   evtimer_add(timer->event_.get(), &delay);
 }
 
-// NOLINTNEXTLINE(google-runtime-int)
-void EventLoop::Timer::OnTimeout(evutil_socket_t, short, void* timer) {
-  auto* self = static_cast<Timer*>(timer);
+void EventLoop::Timer::Run() {
   // The task may restart or destroy the timer: nothing of it is touched afterwards.
-  const std::function<void()> task = std::move(self->task_);
-  self->Cancel();
+  const std::function<void()> task = std::move(task_);
+  Cancel();
   task();
 }
 
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -59,8 +59,7 @@
 
    private:
     friend class EventLoop;
-    static void OnTimeout(evutil_socket_t, short events,
-                          void* timer);  // NOLINT(google-runtime-int)
+    void Run();
     EventPtr event_;
     std::function<void()> task_;
   };
@@ -71,7 +70,6 @@
   [[nodiscard]] event_base* base() { return base_.get(); }
 
  private:
-  static void OnWake(evutil_socket_t, short events, void* loop);  // NOLINT(google-runtime-int)
   [[nodiscard]] bool RequestLimitReached() const;
   void RunPostedTasks();
 
--- a/src/rpc/rate_limited_client.h
+++ b/src/rpc/rate_limited_client.h
@@ -20,7 +20,8 @@
 
 // Calls that wait for a connection; further ones fail at once.
 inline constexpr size_t kMaxQueuedCalls = 64;
-// Responses above this size count as none.
+// Responses above this size count as none. The largest known is a page of the store's keys, at most
+// 512 KiB.
 inline constexpr size_t kMaxResponseBytes = size_t{1024} * 1024;
 
 struct Request {
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -60,7 +60,7 @@
   void OnReadBack(const std::optional<ReadBackResult>& result);
   // The batch took effect: the keys have these versions now.
   void FinishBatch(const KeyVersions::Map& versions);
-  // The batch did not take effect and never will.
+  // The batch did not take effect, or will be found to conflict when it is sent again.
   void RequeueBatch();
   void RetryLater(void (Committer::*step)());
 
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -89,7 +89,7 @@
     auto item = wire::ParseStoreItem(response.body);
     if (item) {
       const uint64_t version = item->version;
-      return done(Outcome::kOk, std::move(item), version);
+      return done(Outcome::kOk, std::move(*item), version);
     }
   } else {
     return done(outcome, std::nullopt, 0);
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -1,11 +1,19 @@
-// The committer against the stand-in state service: unanswered, refused, late and fenced writes.
+// The committer against the fake key-value store: unanswered, refused, late and fenced writes.
 
 #include "state/committer.h"
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <functional>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
 #include "election/elector.h"
-#include "fault_injection/fakes.h"
+#include "fault_injection/fakes/fake_store.h"
+#include "fault_injection/fakes/run_until.h"
 #include "fixtures.h"
 
 namespace zinclead::state {
@@ -16,11 +24,11 @@
 
 class CommitterTest : public ::testing::Test {
  protected:
-  CommitterTest() : standin_(&loop_), settings_(testing::MakeSettings()) {
-    settings_.state.port = standin_.port();
-    settings_.heartbeat_interval_s = 0.4;  // time-outs and retries are ratios to it
-    store_ = std::make_unique<StoreClient>(&loop_, settings_);
-    standin_.Execute(
+  CommitterTest() : fake_store_(&loop_), settings_(testing::MakeSettings()) {
+    settings_.state.port = fake_store_.port();
+    settings_.heartbeat_interval_s = 0.4;  // timeouts and retries are ratios to it
+    client_ = std::make_unique<StoreClient>(&loop_, settings_);
+    fake_store_.CompareAndSwap(
         {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "us"}}}}});
     auto cluster = std::make_unique<core::Cluster>(settings_, config::OperatorSettings(), 1,
                                                    net::SteadyNow(), net::WallNow(), 1);
@@ -28,12 +36,14 @@
     locked_cluster_ = std::make_unique<core::LockedCluster>(std::move(cluster));
     cluster_->OnMachineTypes({testing::MakeType("c4", 4, 1)});
     cluster_->FinishLoading(net::SteadyNow());
-    const uint64_t fence = standin_.entries()[election::kLeaderKey].version;
-    committer_ = std::make_unique<Committer>(&loop_, store_.get(), settings_, locked_cluster_.get(),
-                                             wire::VersionPrecondition{election::kLeaderKey, fence},
-                                             std::unordered_map<std::string, uint64_t>(),
-                                             Committer::Hooks{[] {}, [this] { fenced_ = true; }});
+    const uint64_t fence = fake_store_.entries()[election::kLeaderKey].version;
+    committer_ =
+        std::make_unique<Committer>(&loop_, client_.get(), settings_, locked_cluster_.get(),
+                                    wire::VersionPrecondition{election::kLeaderKey, fence},
+                                    std::unordered_map<std::string, uint64_t>(),
+                                    Committer::Hooks{[] {}, [this] { fenced_ = true; }});
   }
+  // Runs the loop until `done` or a time limit.
   bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
   void Submit(const std::string& id) {
     std::string error;
@@ -42,23 +52,30 @@
     committer_->Flush();
   }
   bool Durable(const std::string& id) { return cluster_->View(id)->stored; }
+  // Of the jobs req-0 to req-(count - 1), but for req-`except`.
+  bool AllDurable(int count, int except = -1) {
+    for (int i = 0; i < count; ++i) {
+      if (i != except && !Durable("req-" + std::to_string(i))) return false;
+    }
+    return true;
+  }
 
   net::EventLoop loop_;
-  FakeStore standin_;
+  FakeStore fake_store_;
   config::Settings settings_;
-  std::unique_ptr<StoreClient> store_;
+  std::unique_ptr<StoreClient> client_;
   std::unique_ptr<core::LockedCluster> locked_cluster_;
   core::Cluster* cluster_ = nullptr;  // in locked_cluster_; the test has one thread
   std::unique_ptr<Committer> committer_;
   bool fenced_ = false;
 };
 
-TEST_F(CommitterTest, UnansweredCommitIsResolvedByReadingBack) {
+TEST_F(CommitterTest, ReadsBackWhenACompareAndSwapGetsNoAnswer) {
   int lost = 0;
-  standin_.inject_fault = [&](const Json&) {
+  fake_store_.InjectFaults([&](const Json&) {
     return lost++ < 1 ? FakeStore::InjectedFault::kExecutedUnanswered
                       : FakeStore::InjectedFault::kNormal;
-  };
+  });
   Submit("req-000001");
   EXPECT_FALSE(Durable("req-000001"));
   ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
@@ -69,11 +86,11 @@
   ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
 }
 
-TEST_F(CommitterTest, RefusedCommitIsRepeatedAndNothingIsToldBefore) {
+TEST_F(CommitterTest, RetriesAndReportsNothingDurableWhenTheStoreRefuses) {
   int refused = 0;
-  standin_.inject_fault = [&](const Json&) {
+  fake_store_.InjectFaults([&](const Json&) {
     return refused++ < 3 ? FakeStore::InjectedFault::kRefused : FakeStore::InjectedFault::kNormal;
-  };
+  });
   Submit("req-000001");
   ASSERT_TRUE(Until([&] { return refused >= 3; }));
   EXPECT_FALSE(Durable("req-000001"));
@@ -81,31 +98,31 @@
 }
 
 // Guards against a repeated old write undoing a newer one: the fence alone would let it through.
-TEST_F(CommitterTest, LateCopyOfAnOwnCommitHasNoEffect) {
+TEST_F(CommitterTest, NothingChangesWhenALateCopyOfItsOwnRequestArrives) {
   std::vector<Json> seen;
-  standin_.inject_fault = [&](const Json& txn) {
-    seen.push_back(txn);
+  fake_store_.InjectFaults([&](const Json& request) {
+    seen.push_back(request);
     return FakeStore::InjectedFault::kNormal;
-  };
+  });
   Submit("req-000001");
   ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
   cluster_->Cancel("req-000001");
   committer_->Flush();
   ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
-  for (const Json& txn : seen) EXPECT_EQ(standin_.Execute(txn).first, 409);
-  EXPECT_EQ(standin_.entries()["zinclead/job/req-000001"].value["final"], "cancelled");
+  for (const Json& request : seen) EXPECT_EQ(fake_store_.CompareAndSwap(request).status, 409);
+  EXPECT_EQ(fake_store_.entries()["zinclead/job/req-000001"].value["final"], "cancelled");
 }
 
-// "The key does not exist" becomes true again when it is deleted: a late copy of the transaction
-// that created it would bring a machine back that is long gone.
-TEST_F(CommitterTest, LateCopyBringsNoDeletedRecordBack) {
+// "The key does not exist" becomes true again when the key is deleted: a late copy of the request
+// that created it would bring the record of a terminated machine back.
+TEST_F(CommitterTest, DeletedRecordStaysDeletedWhenALateCopyArrives) {
   std::vector<Json> created;
-  standin_.inject_fault = [&](const Json& txn) {
-    created.push_back(txn);
-    // The first try gets no answer, and is still under way.
+  fake_store_.InjectFaults([&](const Json& request) {
+    created.push_back(request);
+    // The first request gets no answer, and is still in flight.
     return created.size() == 1 ? FakeStore::InjectedFault::kLost
                                : FakeStore::InjectedFault::kNormal;
-  };
+  });
   wire::Heartbeat heartbeat;
   heartbeat.machine = "i-000001";
   heartbeat.type = "c4";
@@ -115,92 +132,78 @@
   cluster_->OnHeartbeat(heartbeat, net::SteadyNow());
   committer_->Flush();
   const std::string key = "zinclead/machines/adopted-i-000001";
-  ASSERT_TRUE(Until([&] { return standin_.entries().contains(key); }));
+  ASSERT_TRUE(Until([&] { return fake_store_.entries().contains(key); }));
   ASSERT_TRUE(Until([&] { return !cluster_->HasQueuedRecords(); }));
   cluster_->OnTerminated({"i-000001"}, true, net::SteadyNow());
   committer_->Flush();
   ASSERT_TRUE(Until([&] {
-    return !standin_.entries().contains(key) ||
-           standin_.entries()[key].value == core::EmptiedRecord();
+    return !fake_store_.entries().contains(key) ||
+           fake_store_.entries()[key].value == core::EmptiedRecord();
   }));
-  for (const Json& txn : created) standin_.Execute(txn);
-  EXPECT_FALSE(standin_.entries().contains(key) &&
-               standin_.entries()[key].value != core::EmptiedRecord());
-  // The next leader deletes what is left of it.
+  for (const Json& request : created) fake_store_.CompareAndSwap(request);
+  EXPECT_FALSE(fake_store_.entries().contains(key) &&
+               fake_store_.entries()[key].value != core::EmptiedRecord());
+  // The next leader deletes the emptied record.
   core::Cluster next(settings_, config::OperatorSettings(), 2, net::SteadyNow(), net::WallNow(), 1);
-  for (const auto& [k, entry] : standin_.entries()) next.LoadRecord(k, entry.value);
+  for (const auto& [stored, entry] : fake_store_.entries()) next.LoadRecord(stored, entry.value);
   next.FinishLoading(net::SteadyNow());
   EXPECT_TRUE(next.machines().empty());
-  const auto dirty = next.DequeueRecords(8);
-  ASSERT_EQ(dirty.size(), 1U);
-  EXPECT_EQ(dirty[0], key);
+  const auto queued = next.DequeueRecords(8);
+  ASSERT_EQ(queued.size(), 1U);
+  EXPECT_EQ(queued[0], key);
   EXPECT_FALSE(next.Serialize(key).has_value());
 }
 
-// The service's limits may be lowered without notice: nothing stalls, and what is at fault by
-// itself keeps nobody waiting.
-TEST_F(CommitterTest, LoweredLimitsStallNothing) {
-  size_t most = 2;
-  standin_.inject_fault = [&](const Json& txn) {
-    const bool at_fault =
-        txn["writes"].size() > most ||
-        std::any_of(txn["writes"].begin(), txn["writes"].end(),
-                    [](const Json& w) { return w.value("put", "") == "zinclead/job/req-7"; });
-    return at_fault ? FakeStore::InjectedFault::kMalformed : FakeStore::InjectedFault::kNormal;
-  };
+// The store's limits may be lowered without notice: nothing stalls, and a record that is refused by
+// itself does not hold up the others.
+TEST_F(CommitterTest, WritesAllOtherRecordsWhenTheStoreLowersItsLimits) {
+  constexpr size_t kMaxWrites = 2;
+  fake_store_.InjectFaults([&](const Json& request) {
+    const bool malformed =
+        request["writes"].size() > kMaxWrites ||
+        std::any_of(request["writes"].begin(), request["writes"].end(), [](const Json& write) {
+          return write.value("put", "") == "zinclead/job/req-7";
+        });
+    return malformed ? FakeStore::InjectedFault::kMalformed : FakeStore::InjectedFault::kNormal;
+  });
   for (int i = 0; i < 20; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] {
-    for (int i = 0; i < 20; ++i) {
-      if (i != 7 && !Durable("req-" + std::to_string(i))) return false;
-    }
-    return true;
-  }));
+  ASSERT_TRUE(Until([&] { return AllDurable(20, 7); }));
   EXPECT_FALSE(Durable("req-7"));
 }
 
-// Changes beyond a rate that was lowered without notice are refused: they are repeated with a pause
-// until they are served, and none is lost.
-TEST_F(CommitterTest, LoweredRateLosesNothing) {
+// Writes beyond a rate limit that was lowered without notice are refused: they are retried with a
+// pause until they are executed, and none is lost.
+TEST_F(CommitterTest, LosesNothingWhenTheStoreLowersItsRateLimit) {
   constexpr int kRecords = 12;
-  int asked = 0;
+  int requests = 0;
   int refused = 0;
-  standin_.inject_fault = [&](const Json&) {
-    if (++asked % 4 == 0) return FakeStore::InjectedFault::kNormal;
+  fake_store_.InjectFaults([&](const Json&) {
+    if (++requests % 4 == 0) return FakeStore::InjectedFault::kNormal;
     ++refused;
     return FakeStore::InjectedFault::kTooMany;
-  };
-  const double began = net::SteadyNow();
+  });
+  const double started = net::SteadyNow();
   for (int i = 0; i < kRecords; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] {
-    for (int i = 0; i < kRecords; ++i) {
-      if (!Durable("req-" + std::to_string(i))) return false;
-    }
-    return true;
-  }));
+  ASSERT_TRUE(Until([&] { return AllDurable(kRecords); }));
   EXPECT_GT(refused, 0);
   const double retry_s = settings_.heartbeat_interval_s / 10;
-  EXPECT_LE(refused, (net::SteadyNow() - began) / retry_s + 1) << "repeated without a pause";
+  EXPECT_LE(refused, (net::SteadyNow() - started) / retry_s + 1) << "repeated without a pause";
 }
 
-TEST_F(CommitterTest, AnotherLeaderFencesItOff) {
-  standin_.Execute(
+TEST_F(CommitterTest, IsFencedOffWhenAnotherLeaderIsElected) {
+  fake_store_.CompareAndSwap(
       {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "other"}}}}});
   Submit("req-000001");
   ASSERT_TRUE(Until([&] { return fenced_; }));
   EXPECT_FALSE(Durable("req-000001"));
-  EXPECT_FALSE(standin_.entries().contains("zinclead/job/req-000001"));
+  EXPECT_FALSE(fake_store_.entries().contains("zinclead/job/req-000001"));
 }
 
-TEST_F(CommitterTest, ManyRecordsGoInFewTransactions) {
-  const uint64_t before = standin_.transactions;
+TEST_F(CommitterTest, WritesFewBatchesWhenManyRecordsAreQueued) {
+  const uint64_t before = fake_store_.compare_and_swap_count();
   for (int i = 0; i < 40; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] {
-    for (int i = 0; i < 40; ++i) {
-      if (!Durable("req-" + std::to_string(i))) return false;
-    }
-    return true;
-  }));
-  EXPECT_LT(standin_.transactions - before, 40U / 2);
+  ASSERT_TRUE(Until([&] { return AllDurable(40); }));
+  EXPECT_LT(fake_store_.compare_and_swap_count() - before, 40U / 2);
 }
 
 }  // namespace
--- a/tests/e2e_test.cc
+++ b/tests/e2e_test.cc
@@ -1,9 +1,14 @@
-// Three real processes against the stand-ins on loopback; the leader is killed and restarted.
+// Three real processes against the fakes on loopback; the leader is killed and restarted.
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+
 #include "fault_injection/controller_processes.h"
-#include "fault_injection/fakes.h"
+#include "fault_injection/fakes/fake_cloud.h"
+#include "fault_injection/fakes/fake_store.h"
+#include "fault_injection/fakes/fake_worker.h"
+#include "fault_injection/fakes/run_until.h"
 #include "fixtures.h"
 
 namespace zinclead::testing {
@@ -120,7 +125,7 @@
     size_t count = 0;
     for (const auto& [id, worker] : cloud_->workers()) {
       count += static_cast<size_t>(
-          std::count_if(worker->started.begin(), worker->started.end(),
+          std::count_if(worker->started().begin(), worker->started().end(),
                         [](const std::string& task) { return task.starts_with("req-000002/"); }));
       for (auto& [key, task] : worker->tasks()) {
         if (key.first.starts_with("req-000002/")) task.ends_at = 1e18;
