--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -21,7 +21,8 @@
   }
   settings.zones = {"a", "b", "c", "d"};
   settings.teams = {{"open", 0, 0, 0, 0}};
-  settings.objectives = {{"wait", "service", 3, 0.93}, {"finished", "array", 120, 0.94}};
+  settings.objectives = {{config::ObjectiveKind::kWait, "service", 3},
+                         {config::ObjectiveKind::kFinished, "array", 120}};
   settings.heartbeat_interval_s = 1.5;
   settings.cancel_s = 30;
   settings.state_value_kb = 32;
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -45,6 +45,13 @@
   }
 }
 
+// Prints why the settings can't be used; returns the process's exit status.
+int ReportSettingsError(const zinclead::config::SettingsError& error) {
+  constexpr int kInvalidSettings = 2;
+  std::cerr << "zinclead: " << error.ToString() << "\n";
+  return kInvalidSettings;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -58,17 +65,14 @@
   app.add_flag("--check", check, "check the settings and end");
   CLI11_PARSE(app, argc, argv);
 
-  zinclead::config::Settings settings;
+  const auto loaded = zinclead::config::LoadSettings(config_path);
+  if (!loaded) return ReportSettingsError(loaded.error());
+  const zinclead::config::Settings& settings = *loaded;
   zinclead::config::OperatorSettings operator_settings;
-  std::string error;
-  if (!zinclead::config::LoadSettings(config_path, &settings, &error)) {
-    std::cerr << "zinclead: " << config_path << ": " << error << "\n";
-    return 2;
-  }
-  if (!operator_path.empty() &&
-      !zinclead::config::LoadOperatorSettings(operator_path, &operator_settings, &error)) {
-    std::cerr << "zinclead: " << operator_path << ": " << error << "\n";
-    return 2;
+  if (!operator_path.empty()) {
+    const auto loaded_operator = zinclead::config::LoadOperatorSettings(operator_path);
+    if (!loaded_operator) return ReportSettingsError(loaded_operator.error());
+    operator_settings = *loaded_operator;
   }
   if (check) {
     std::cout << "settings are valid\n";
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -3,162 +3,152 @@
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
-#include <fstream>
 #include <pugixml.hpp>
 #include <sstream>
+#include <utility>
+#include <variant>
 #include <vector>
 
 namespace zinclead::config {
 namespace {
 
+constexpr const char* kRootElement = "zinclead";
+constexpr const char* kTeamElement = "admission/team";
+constexpr const char* kTeamName = "name";
+constexpr const char* kTeamWeight = "weight";
+
 constexpr double kMinWeight = 0.1;
 constexpr double kMaxWeight = 100;
+constexpr double kYearS = 365.0 * 24 * 3600;
 
-struct Field {
+// An attribute of a section, its range, and where its value is kept; an int is a whole number.
+struct Attribute {
   const char* section;
   const char* name;
   double min;
   double max;
-  double* amount;
-  int* count;
+  std::variant<double*, int*> target;
+
+  [[nodiscard]] std::string Path() const { return std::string(section) + "/" + name; }
 };
 
-std::vector<Field> Fields(OperatorSettings* s) {
-  constexpr double kYear = 365.0 * 24 * 3600;
+// The names of all attributes in the operators' file.
+std::vector<Attribute> Attributes(OperatorSettings* settings) {
+  AdmissionSettings* admission = &settings->admission;
   return {
-      {"dispatch", "retry-s", 0.1, kYear, &s->retry_s, nullptr},
-      {"dispatch", "retry-jitter-s", 0, kYear, &s->retry_jitter_s, nullptr},
-      {"dispatch", "deadline-s", 1, kYear, &s->deadline_s, nullptr},
-      {"dispatch", "begin-within-s", 1, kYear, &s->starvation_limit_s, nullptr},
-      {"admission", "max-active-jobs", 1, 1e6, nullptr, &s->max_active_jobs},
-      {"admission", "fair", 0, 1, nullptr, &s->admission.fair},
-      {"admission", "rate-share", 0.01, 1, &s->admission.rate_share, nullptr},
-      {"admission", "burst-s", 0, 60, &s->admission.burst_s, nullptr},
-      {"admission", "turn-window-s", 1, 30, &s->admission.reservation_window_s, nullptr},
-      {"admission", "prod-weight", kMinWeight, kMaxWeight, &s->admission.prod_weight, nullptr},
-      {"admission", "high-weight", kMinWeight, kMaxWeight, &s->admission.high_weight, nullptr},
-      {"admission", "standard-weight", kMinWeight, kMaxWeight, &s->admission.standard_weight,
-       nullptr},
-      {"admission", "best-effort-weight", kMinWeight, kMaxWeight, &s->admission.best_effort_weight,
-       nullptr},
-      {"fleet", "idle-s", 1, kYear, &s->idle_s, nullptr},
-      {"fleet", "rent-share", 0.01, 1, &s->scale_out_rate_share, nullptr},
-      {"fleet", "boot-give-up", 1, 100, &s->boot_give_up, nullptr},
-      {"fleet", "boot-late", 1, 100, &s->boot_late, nullptr},
-      {"leader", "lease-share", 0.01, 0.25, &s->leader_lease_share, nullptr},
+      {"dispatch", "retry-s", 0.1, kYearS, &settings->retry_s},
+      {"dispatch", "retry-jitter-s", 0, kYearS, &settings->retry_jitter_s},
+      {"dispatch", "deadline-s", 1, kYearS, &settings->deadline_s},
+      {"dispatch", "begin-within-s", 1, kYearS, &settings->starvation_limit_s},
+      {"admission", "max-active-jobs", 1, 1e6, &settings->max_active_jobs},
+      {"admission", "fair", 0, 1, &admission->fair},
+      {"admission", "rate-share", 0.01, 1, &admission->rate_share},
+      {"admission", "burst-s", 0, 60, &admission->burst_s},
+      {"admission", "turn-window-s", 1, 30, &admission->reservation_window_s},
+      {"admission", "prod-weight", kMinWeight, kMaxWeight, &admission->prod_weight},
+      {"admission", "high-weight", kMinWeight, kMaxWeight, &admission->high_weight},
+      {"admission", "standard-weight", kMinWeight, kMaxWeight, &admission->standard_weight},
+      {"admission", "best-effort-weight", kMinWeight, kMaxWeight, &admission->best_effort_weight},
+      {"fleet", "idle-s", 1, kYearS, &settings->idle_s},
+      {"fleet", "rent-share", 0.01, 1, &settings->scale_out_rate_share},
+      {"fleet", "boot-give-up", 1, 100, &settings->boot_give_up},
+      {"fleet", "boot-late", 1, 100, &settings->boot_late},
+      {"leader", "lease-share", 0.01, 0.25, &settings->leader_lease_share},
   };
 }
 
-bool ReadNumber(const std::string& text, double* out) {
-  char* end = nullptr;
-  *out = std::strtod(text.c_str(), &end);
-  return !text.empty() && *end == '\0' && std::isfinite(*out);
+tl::unexpected<SettingsError> Failure(std::string field, std::string reason) {
+  return tl::unexpected<SettingsError>({"", 0, std::move(field), std::move(reason)});
 }
 
-// `name` names the value in errors.
-bool ReadInRange(const std::string& name, const std::string& text, double min, double max,
-                 double* out, std::string* error) {
-  if (!ReadNumber(text, out)) {
-    *error = name + " must be a number";
-    return false;
-  }
-  if (*out < min || *out > max) {
-    std::ostringstream range;
-    range << name << " must be from " << min << " to " << max;
-    *error = range.str();
-    return false;
+SettingsResult<double> ParseNumber(const std::string& field, const std::string& text) {
+  char* end = nullptr;
+  const double value = std::strtod(text.c_str(), &end);
+  if (text.empty() || *end != '\0' || !std::isfinite(value)) {
+    return Failure(field, "must be a number");
   }
-  return true;
+  return value;
 }
 
-bool ReadField(const std::vector<Field>& fields, const pugi::xml_node& section,
-               const pugi::xml_attribute& attribute, std::string* error) {
-  const std::string name = std::string(section.name()) + "/" + attribute.name();
-  const auto field = std::find_if(fields.begin(), fields.end(), [&](const Field& f) {
-    return name == std::string(f.section) + "/" + f.name;
-  });
-  if (field == fields.end()) {
-    *error = name + " is not a known setting";
-    return false;
-  }
-  double value = 0;
-  if (!ReadInRange(name, attribute.value(), field->min, field->max, &value, error)) return false;
-  if (field->amount != nullptr) {
-    *field->amount = value;
-    return true;
+SettingsResult<double> ParseNumberInRange(const std::string& field, const std::string& text,
+                                          double min, double max) {
+  const SettingsResult<double> value = ParseNumber(field, text);
+  if (value && (*value < min || *value > max)) {
+    std::ostringstream reason;
+    reason << "must be from " << min << " to " << max;
+    return Failure(field, reason.str());
   }
-  if (value != std::floor(value)) {
-    *error = name + " must be a whole number";
-    return false;
+  return value;
+}
+
+SettingsResult<void> ReadAttribute(const std::vector<Attribute>& attributes,
+                                   const pugi::xml_node& section, const pugi::xml_attribute& xml) {
+  const std::string path = std::string(section.name()) + "/" + xml.name();
+  const auto attribute = std::find_if(attributes.begin(), attributes.end(),
+                                      [&](const Attribute& known) { return known.Path() == path; });
+  if (attribute == attributes.end()) return Failure(path, "is not a known setting");
+  const auto value = ParseNumberInRange(path, xml.value(), attribute->min, attribute->max);
+  if (!value) return tl::unexpected<SettingsError>(value.error());
+  if (double* const* amount = std::get_if<double*>(&attribute->target)) {
+    **amount = *value;
+    return {};
   }
-  *field->count = static_cast<int>(value);
-  return true;
+  if (*value != std::floor(*value)) return Failure(path, "must be a whole number");
+  *std::get<int*>(attribute->target) = static_cast<int>(*value);
+  return {};
 }
 
 // <admission><team name="..." weight="..."/></admission>
-bool ReadTeamWeight(const pugi::xml_node& section, const pugi::xml_node& child,
-                    AdmissionSettings* out, std::string* error) {
-  const std::string name = std::string(section.name()) + "/" + child.name();
-  if (name != "admission/team") {
-    *error = name + " is not a known element";
-    return false;
-  }
-  const std::string team = child.attribute("name").value();
-  if (team.empty()) {
-    *error = name + " must have a name";
-    return false;
+SettingsResult<void> ReadTeamWeight(const pugi::xml_node& section, const pugi::xml_node& element,
+                                    AdmissionSettings* admission) {
+  const std::string path = std::string(section.name()) + "/" + element.name();
+  if (path != kTeamElement) return Failure(path, "is not a known element");
+  const std::string team = element.attribute(kTeamName).value();
+  if (team.empty()) return Failure(path, "must have a name");
+  const std::string team_path = path + " \"" + team + "\"";
+  const auto weight =
+      ParseNumberInRange(team_path + ": " + kTeamWeight, element.attribute(kTeamWeight).value(),
+                         kMinWeight, kMaxWeight);
+  if (!weight) return tl::unexpected<SettingsError>(weight.error());
+  if (!admission->team_weights.emplace(team, *weight).second) {
+    return Failure(team_path, "is there twice");
   }
-  double weight = 0;
-  if (!ReadInRange(name + " \"" + team + "\": weight", child.attribute("weight").value(),
-                   kMinWeight, kMaxWeight, &weight, error)) {
-    return false;
+  return {};
+}
+
+SettingsResult<void> ReadSection(const pugi::xml_node& section,
+                                 const std::vector<Attribute>& attributes,
+                                 AdmissionSettings* admission) {
+  for (const pugi::xml_attribute& attribute : section.attributes()) {
+    if (auto read = ReadAttribute(attributes, section, attribute); !read) return read;
   }
-  if (!out->team_weights.emplace(team, weight).second) {
-    *error = name + " \"" + team + "\" is there twice";
-    return false;
+  for (const pugi::xml_node& element : section.children()) {
+    if (element.type() != pugi::node_element) continue;
+    if (auto read = ReadTeamWeight(section, element, admission); !read) return read;
   }
-  return true;
+  return {};
 }
 
 }  // namespace
 
-bool ParseOperatorSettings(const std::string& xml_text, OperatorSettings* out, std::string* error) {
+SettingsResult<OperatorSettings> ParseOperatorSettings(const std::string& xml_text) {
   pugi::xml_document document;
   const pugi::xml_parse_result parsed = document.load_string(xml_text.c_str());
-  if (!parsed) {
-    *error = std::string("not XML: ") + parsed.description();
-    return false;
-  }
-  const pugi::xml_node root = document.child("zinclead");
-  if (!root) {
-    *error = "zinclead (the root element) is missing";
-    return false;
-  }
+  if (!parsed) return Failure("", std::string("not XML: ") + parsed.description());
+  const pugi::xml_node root = document.child(kRootElement);
+  if (!root) return Failure(kRootElement, "(the root element) is missing");
   OperatorSettings settings;
-  const std::vector<Field> fields = Fields(&settings);
-  for (const pugi::xml_node section : root.children()) {
+  const std::vector<Attribute> attributes = Attributes(&settings);
+  for (const pugi::xml_node& section : root.children()) {
     if (section.type() != pugi::node_element) continue;
-    for (const pugi::xml_attribute attribute : section.attributes()) {
-      if (!ReadField(fields, section, attribute, error)) return false;
-    }
-    for (const pugi::xml_node child : section.children()) {
-      if (child.type() != pugi::node_element) continue;
-      if (!ReadTeamWeight(section, child, &settings.admission, error)) return false;
-    }
+    const auto read = ReadSection(section, attributes, &settings.admission);
+    if (!read) return tl::unexpected<SettingsError>(read.error());
   }
-  *out = settings;
-  return true;
+  return settings;
 }
 
-bool LoadOperatorSettings(const std::string& path, OperatorSettings* out, std::string* error) {
-  std::ifstream file(path);
-  if (!file) {
-    *error = "cannot be read";
-    return false;
-  }
-  std::ostringstream text;
-  text << file.rdbuf();
-  return ParseOperatorSettings(text.str(), out, error);
+SettingsResult<OperatorSettings> LoadOperatorSettings(const std::string& path) {
+  return LoadFile(path, ParseOperatorSettings);
 }
 
 }  // namespace zinclead::config
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -485,7 +485,7 @@
     const auto& objectives = cluster_.settings_.objectives;
     const auto it =
         std::find_if(objectives.begin(), objectives.end(), [&](const config::Objective& o) {
-          return o.job_class == job.spec.job_class && o.kind == "wait";
+          return o.job_class == job.spec.job_class && o.kind == config::ObjectiveKind::kWait;
         });
     return it == objectives.end() ? nullptr : &*it;
   }
@@ -889,7 +889,7 @@
            std::any_of(cluster_.settings_.objectives.begin(), cluster_.settings_.objectives.end(),
                        [&](const config::Objective& objective) {
                          return objective.job_class == job.spec.job_class &&
-                                objective.kind == "finished";
+                                objective.kind == config::ObjectiveKind::kFinished;
                        });
   }
 
@@ -910,8 +910,10 @@
     if (job.spec.deadline_s) start_by = *job.spec.deadline_s - run_s;
     for (const config::Objective& objective : cluster_.settings_.objectives) {
       if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
-      if (objective.kind == "wait") start_by = std::min(start_by, objective.within_s);
-      if (objective.kind == "finished") {
+      if (objective.kind == config::ObjectiveKind::kWait) {
+        start_by = std::min(start_by, objective.within_s);
+      }
+      if (objective.kind == config::ObjectiveKind::kFinished) {
         start_by = std::min(start_by, objective.within_s - run_s);
         share = kFinishPatienceShare;
       }
--- a/src/fault_injection/scenario_runner.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -146,14 +146,13 @@
                                        });
   controllers_.SetEndpoints(cloud_->port(), store_.port());
   for (size_t i = 0; i < controllers_.count(); ++i) controllers_.Start(i);
-  config::Settings settings;
-  config::OperatorSettings operator_settings;
-  std::string error;
-  if (!config::LoadSettings(controllers_.SettingsPath(0), &settings, &error) ||
-      !config::LoadOperatorSettings(operator_path_, &operator_settings, &error)) {
-    throw std::runtime_error("settings of the scenario: " + error);
+  const auto settings = config::LoadSettings(controllers_.SettingsPath(0));
+  const auto operator_settings = config::LoadOperatorSettings(operator_path_);
+  if (!settings || !operator_settings) {
+    const config::SettingsError& error = settings ? operator_settings.error() : settings.error();
+    throw std::runtime_error("settings of the scenario: " + error.ToString());
   }
-  limits_ = admission::DeriveLimits(settings, operator_settings);
+  limits_ = admission::DeriveLimits(*settings, *operator_settings);
 }
 
 ControllerOptions ScenarioRun::Options(const RunOptions& options) {
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -479,7 +479,8 @@
 
 // When load falls, machines with a service or two are emptied.
 TEST_F(CoreTest, ServicesAreGatheredFromMostlyEmptyMachines) {
-  settings_.objectives = {{"wait", "batch", settings_.lease_s, 0.9}};  // a start may take that long
+  settings_.objectives = {  // a start may take that long
+      {config::ObjectiveKind::kWait, "batch", settings_.lease_s}};
   Restart();
   std::map<std::string, std::map<std::string, wire::TaskStatus>> tasks;
   for (int i = 101; i <= 117; ++i) {
@@ -520,7 +521,7 @@
 // at hljod fleet the last half of a day cost more than a quarter of its money for half-empty
 // machines.
 TEST_F(CoreTest, MachinesGoBackAsServicesEnd) {
-  settings_.objectives = {{"wait", "batch", settings_.lease_s, 0.9}};
+  settings_.objectives = {{config::ObjectiveKind::kWait, "batch", settings_.lease_s}};
   Restart();
   constexpr int kMachines = 20;
   std::map<std::string, std::map<std::string, wire::TaskStatus>> tasks;
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -20,7 +20,6 @@
   s.state = {"127.0.0.1", 4};
   s.zones = {"a", "b", "c"};
   s.teams = {{"open", 0, 0, 0, 0}, {"capped", 0, 8, 0, 0}};
-  s.clock_error_ms = 100;
   s.heartbeat_interval_s = 2;
   s.lease_s = 10;
   s.cancel_s = 24;
@@ -33,7 +32,6 @@
   s.cloud_rps = 10;
   s.cloud_list_lag_s = 3;
   s.core_share = 1;
-  s.mem_mb = 100;
   s.sockets = 1000;
   return s;
 }
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -322,7 +322,7 @@
  protected:
   // How many of eight tasks of an array start on two empty machines after a gang has come and gone.
   size_t ArrayTasksStarted(double gangs_within_s) {
-    settings_.objectives = {{"wait", "mix", gangs_within_s, 0.9}};
+    settings_.objectives = {{config::ObjectiveKind::kWait, "mix", gangs_within_s}};
     Restart();
     wire::JobSpec gang = MakeGang(2);
     gang.job_class = "mix";
