--- a/src/admission/admission_policy.cc
+++ b/src/admission/admission_policy.cc
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <cmath>
 
-#include "admission/bloom_filter.h"
-
 namespace zinclead::admission {
 
 AdmissionPolicy::AdmissionPolicy(const Limits& limits, double now, uint64_t seed)
@@ -16,52 +14,40 @@
 
 Decision AdmissionPolicy::Decide(const Request& request, double now) {
   if (!limits_.fair) {
-    if (!active_.HasPlace(request.team)) return RefuseWithoutReservation();
+    if (!active_.HasCapacity(request.team)) return RefuseWithoutReservation();
     return Admit(request);
   }
   Advance(now);
-  auto it = reservations_.find(request.id);
-  if (it != reservations_.end() &&
-      (it->second->team != request.team || it->second->tier != request.tier ||
-       it->second->cost != request.cost)) {
-    // The id comes back as another job: the turn was given to the first one.
-    RemoveReservation(request.id);
-    it = reservations_.end();
-  }
-  if (it != reservations_.end()) {
-    Reservation* reservation = it->second.get();
-    if (!reservation->granted) return Refuse(reservation, now);
-    counters_.longest_wait_s =
-        std::max(counters_.longest_wait_s, now - reservation->first_refused_at);
-    RemoveReservation(request.id);
-    return Admit(request);
+  Reservation* reservation = FindReservation(request);
+  if (reservation == nullptr) {
+    if (!QueueHasCapacity(request)) return RefuseWithoutReservation();
+    reservation = AddReservation(request, now);
+    GrantReservations(now);
   }
-  if (!QueueHasCapacity(request)) return RefuseWithoutReservation();
-  Reservation* reservation = AddReservation(request, now);
-  GrantReservations(now);
   if (!reservation->granted) return Refuse(reservation, now);
-  RemoveReservation(request.id);
-  return Admit(request);
+  return AdmitReserved(*reservation, request, now);
 }
 
 void AdmissionPolicy::OnStored(const std::string& id, double now) {
   if (unstored_.erase(id) == 0) return;
   if (!limits_.fair) return;
-  recent_.emplace(now, id);
-  ForgetAccepted(now);
+  recently_accepted_.emplace(now, id);
+  EraseOldAccepted(now);
 }
 
 void AdmissionPolicy::AddAccepted(const std::string& id, double accepted_at, double now) {
-  if (limits_.fair && accepted_at + kUserRetryLimitS >= now) recent_.emplace(accepted_at, id);
+  if (limits_.fair && accepted_at + kUserRetryLimitS >= now)
+    recently_accepted_.emplace(accepted_at, id);
 }
 
-void AdmissionPolicy::ForgetAccepted(double now) {
-  while (!recent_.empty() && recent_.begin()->first + kUserRetryLimitS < now) {
-    recent_.erase(recent_.begin());
+void AdmissionPolicy::EraseOldAccepted(double now) {
+  while (!recently_accepted_.empty() &&
+         recently_accepted_.begin()->first + kUserRetryLimitS < now) {
+    recently_accepted_.erase(recently_accepted_.begin());
   }
 }
 
-void AdmissionPolicy::Withdraw(const std::string& id) {
+void AdmissionPolicy::CancelReservation(const std::string& id) {
   if (reservations_.contains(id)) RemoveReservation(id);
 }
 
@@ -69,27 +55,40 @@
   wire::CreditGrant grant;
   if (!limits_.fair) return grant;
   Advance(now);
-  if (reservations_.empty()) return grant;  // all that comes is admitted
+  if (reservations_.empty()) return grant;  // every submission would be admitted
+  EraseOldAccepted(now);
   grant.limited = true;
-  grant.by_tier.resize(kTiers);
+  grant.by_tier = CreditsByTier();
+  grant.reservations = ReservationFilter().ToText();
+  grant.accepted = AcceptedFilter().ToText();
+  return grant;
+}
+
+// Each follower may use all that is free: the leader decides in the end, and a team that sends
+// little must not be shut out because its few submissions reach the same follower.
+std::vector<std::map<std::string, uint64_t>> AdmissionPolicy::CreditsByTier() const {
+  std::vector<std::map<std::string, uint64_t>> credits(kTiers);
   for (size_t tier = 0; tier < kTiers; ++tier) {
     for (const auto& [team, weight] : limits_.team_weight) {
-      grant.by_tier[tier][team] = FreeReservations(team, tier);
+      credits[tier][team] = FreeReservations(team, tier);
     }
   }
-  BloomFilter reservations(reservations_.size());
-  for (const auto& [id, reservation] : reservations_) reservations.Add(id);
-  grant.reservations = reservations.ToText();
-  ForgetAccepted(now);
-  BloomFilter accepted(recent_.size() + unstored_.size());
-  for (const auto& [at, id] : recent_) accepted.Add(id);
-  for (const std::string& id : unstored_) accepted.Add(id);
-  grant.accepted = accepted.ToText();
-  return grant;
+  return credits;
+}
+
+BloomFilter AdmissionPolicy::ReservationFilter() const {
+  BloomFilter filter(reservations_.size());
+  for (const auto& [id, reservation] : reservations_) filter.Add(id);
+  return filter;
+}
+
+BloomFilter AdmissionPolicy::AcceptedFilter() const {
+  BloomFilter filter(recently_accepted_.size() + unstored_.size());
+  for (const auto& [at, id] : recently_accepted_) filter.Add(id);
+  for (const std::string& id : unstored_) filter.Add(id);
+  return filter;
 }
 
-// Each follower may use all that is free: the leader judges what comes, and a team that sends
-// little must not be shut out because its few submissions came to one follower.
 uint64_t AdmissionPolicy::FreeReservations(const std::string& team, size_t tier) const {
   const double held = queues_[tier].CostOf(team);
   const double free = std::max(0.0, limits_.ReservationCost(team, tier) - held) / kRecordsPerJob;
@@ -121,17 +120,17 @@
     const std::string id = expiring_.begin()->second;
     const Reservation& reservation = *reservations_.at(id);
     ++counters_.reservations_expired;
-    // What it did not use goes to the next.
+    // Its tokens were not used: they serve the next ones.
     if (reservation.granted) common_tokens_ += reservation.cost;
     RemoveReservation(id);
   }
 }
 
 void AdmissionPolicy::GrantReservations(double now) {
-  const auto has_place = [this](const std::string& team) { return active_.HasPlace(team); };
+  const auto has_capacity = [this](const std::string& team) { return active_.HasCapacity(team); };
   for (size_t tier = 0; tier < kTiers; ++tier) {
     while (unstored_.size() < limits_.max_unstored) {
-      Reservation* reservation = queues_[tier].Next(has_place);
+      Reservation* reservation = queues_[tier].Next(has_capacity);
       if (reservation == nullptr || !TakeTokens(tier, reservation->cost)) break;
       queues_[tier].PopServed();
       reservation->granted = true;
@@ -141,7 +140,8 @@
   }
 }
 
-// A cost above the burst is taken once the bucket is full, and leaves a debt: it must be possible.
+// A cost above the burst is taken once the bucket is full, and leaves a debt: otherwise a large job
+// could never be admitted.
 bool AdmissionPolicy::TakeTokens(size_t tier, double cost) {
   const double needed = std::min(cost, limits_.tier_burst[tier]);
   const double common = std::max(0.0, common_tokens_);
@@ -152,12 +152,24 @@
   return true;
 }
 
-// A team may hold turns worth its share, and one whatever it costs.
+// A team may hold reservations up to its share of the cost, and a single one of any cost.
 bool AdmissionPolicy::QueueHasCapacity(const Request& request) const {
   const double held = queues_[request.tier].CostOf(request.team);
   return held == 0 || held + request.cost <= limits_.ReservationCost(request.team, request.tier);
 }
 
+Reservation* AdmissionPolicy::FindReservation(const Request& request) {
+  const auto it = reservations_.find(request.id);
+  if (it == reservations_.end()) return nullptr;
+  Reservation* reservation = it->second.get();
+  if (Request{reservation->id, reservation->team, reservation->tier, reservation->cost} ==
+      request) {
+    return reservation;
+  }
+  RemoveReservation(request.id);
+  return nullptr;
+}
+
 Reservation* AdmissionPolicy::AddReservation(const Request& request, double now) {
   auto owned = std::make_unique<Reservation>();
   Reservation* reservation = owned.get();
@@ -177,15 +189,14 @@
   Reservation* reservation = it->second.get();
   expiring_.erase({reservation->expires_at, id});
   if (reservation->granted) {
-    active_.Remove(reservation->team);  // the place that was held for it
+    active_.Remove(reservation->team);  // the capacity that was held for it
   } else {
     queues_[reservation->tier].Remove(reservation);
   }
   reservations_.erase(it);
 }
 
-// The rate at which the tier's turns are granted while the tiers that wait stay the same: what idle
-// tiers leave over goes to the highest that waits.
+// As long as the same tiers have reservations: the rate of the others goes to the highest of them.
 double AdmissionPolicy::ServiceRate(size_t tier) const {
   double rate = limits_.tier_rate[tier];
   for (size_t other = 0; other < kTiers; ++other) {
@@ -199,7 +210,7 @@
   return rate;
 }
 
-// When the turn will be granted if all teams that wait keep waiting.
+// When the reservation will be granted if all teams that have reservations keep some.
 void AdmissionPolicy::SetRetryTime(Reservation* reservation, double now) {
   const FairQueue& queue = queues_[reservation->tier];
   const double share = limits_.WeightOf(reservation->team) / queue.active_weight();
@@ -224,8 +235,15 @@
   return {true, false, 0};
 }
 
+Decision AdmissionPolicy::AdmitReserved(const Reservation& reservation, const Request& request,
+                                        double now) {
+  counters_.longest_wait_s = std::max(counters_.longest_wait_s, now - reservation.first_refused_at);
+  RemoveReservation(request.id);
+  return Admit(request);
+}
+
 Decision AdmissionPolicy::Refuse(Reservation* reservation, double now) {
-  // A user who is back too early keeps the time that was named.
+  // A user who retries too early keeps the time that was named.
   if (reservation->retry_at <= now) SetRetryTime(reservation, now);
   ++counters_.refused_with_reservation;
   const double wait = std::max(1.0, std::ceil(reservation->retry_at - now));
--- a/src/admission/bloom_filter.cc
+++ b/src/admission/bloom_filter.cc
@@ -5,7 +5,7 @@
 namespace zinclead::admission {
 namespace {
 
-// Twelve bits an id and four probes: one in a hundred of other ids passes.
+// Twelve bits an id and four probes: about 1% false positives.
 constexpr size_t kBitsPerId = 12;
 constexpr size_t kProbes = 4;
 constexpr size_t kBitsPerByte = 8;
--- a/src/admission/fair_queue.cc
+++ b/src/admission/fair_queue.cc
@@ -33,7 +33,7 @@
   const bool any = std::any_of(teams_.begin(), teams_.end(),
                                [&](const auto& entry) { return may_serve(entry.first); });
   if (!any) return nullptr;
-  // Ends: each round adds to the deficit of at least one team that may be served.
+  // Terminates: each round adds to the deficit of at least one team that may be served.
   while (true) {
     const std::string& name = round_.front();
     Team& team = teams_.at(name);
@@ -43,7 +43,7 @@
     }
     if (!team.visited) {
       team.visited = true;
-      team.deficit += kQuantum * team.weight;
+      team.deficit += kQuantumPerWeight * team.weight;
     }
     if (team.reservations.front()->cost <= team.deficit) return team.reservations.front();
     Rotate(&team);
@@ -58,7 +58,7 @@
   team.deficit -= served->cost;
   team.cost -= served->cost;
   --size_;
-  // A team that no longer waits keeps no deficit: it can't save up service.
+  // A team whose queue is empty keeps no deficit: it can't save up service.
   if (team.reservations.empty()) EraseTeam(name);
 }
 
@@ -78,11 +78,6 @@
   return cost;
 }
 
-void FairQueue::ForEachTeam(
-    const std::function<void(const std::string& team, double cost)>& visit) const {
-  for (const auto& [name, team] : teams_) visit(name, team.cost);
-}
-
 void FairQueue::Rotate(Team* team) {
   team->visited = false;
   round_.splice(round_.end(), round_, round_.begin());
@@ -93,7 +88,7 @@
   active_weight_ -= it->second.weight;
   teams_.erase(it);
   round_.remove(name);
-  if (teams_.empty()) active_weight_ = 0;  // no rounding errors are carried on
+  if (teams_.empty()) active_weight_ = 0;  // rounding errors do not accumulate
 }
 
 }  // namespace zinclead::admission
--- a/src/admission/limits.cc
+++ b/src/admission/limits.cc
@@ -3,18 +3,23 @@
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
+#include <numeric>
+
+#include "wire/labels.h"
 
 namespace zinclead::admission {
 namespace {
 
 // A finished task takes about this many bytes of a progress record.
 constexpr double kBytesPerTask = 8;
-// Of the users' patience, the part that waiting for a turn may take. The rest covers the rounding
-// of Retry-After to seconds and the calls themselves.
-constexpr double kPatienceShare = 0.9;
-// Of the longest Retry-After, the span in which users without a turn come back.
-constexpr double kNoTurnRetryShare = 1.0 / 6;
-// Leader's leases that a change of leader takes at most, as a rule.
+// Of a record, the part that the progress of tasks may take.
+constexpr double kProgressShare = 1.0 / 4;
+// Of the users' retry limit, the part that waiting for a reservation may take. The rest covers the
+// rounding of Retry-After to seconds and the calls themselves.
+constexpr double kReservationWaitShare = 0.9;
+// Refusals without a reservation name at least this share of the longest Retry-After.
+constexpr double kNoReservationRetryShare = 1.0 / 6;
+// A change of leader takes at most this many of the leader's leases, as a rule.
 constexpr double kElectionLeases = 2;
 
 std::string Line(const char* format, double value) {
@@ -23,6 +28,49 @@
   return text.data();
 }
 
+const char* TierName(size_t tier) {
+  return wire::Label(wire::kPriorities, static_cast<wire::Priority>(tier));
+}
+
+void SetTeamWeights(const config::Settings& settings, const config::AdmissionSettings& wanted,
+                    Limits* limits) {
+  for (const config::Team& team : settings.teams) {
+    const auto it = wanted.team_weights.find(team.name);
+    const double weight = it == wanted.team_weights.end() ? 1.0 : it->second;
+    limits->team_weight[team.name] = weight;
+    limits->total_weight += weight;
+  }
+  limits->total_weight = std::max(limits->total_weight, 1.0);
+}
+
+// Requires the rate and the team weights.
+void SetTierLimits(const config::AdmissionSettings& wanted, Limits* limits) {
+  const std::array<double, kTiers> weights = {wanted.prod_weight, wanted.high_weight,
+                                              wanted.standard_weight, wanted.best_effort_weight};
+  const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
+  const double round = limits->total_weight + static_cast<double>(limits->teams) * kRecordsPerJob;
+  for (size_t tier = 0; tier < kTiers; ++tier) {
+    const double rate = limits->rate * weights[tier] / sum;
+    limits->tier_rate[tier] = rate;
+    limits->tier_burst[tier] = std::max(kRecordsPerJob, wanted.burst_s * rate);
+    // What can be served while users keep retrying, less the latency of a round.
+    const double served = kReservationWaitShare * kUserRetryLimitS * rate - round;
+    limits->reservation_cost_per_weight[tier] = std::max(0.0, served) / limits->total_weight;
+  }
+}
+
+void SetRetryTimes(const config::Settings& settings,
+                   const config::OperatorSettings& operator_settings, Limits* limits) {
+  limits->busy_retry_s = static_cast<int>(operator_settings.retry_s) + 1;
+  limits->no_reservation_retry_min_s =
+      std::max(1, static_cast<int>(std::lround(kNoReservationRetryShare * kMaxRetryAfterS)));
+  limits->no_reservation_retry_max_s = kMaxRetryAfterS;
+  const double election_s =
+      kElectionLeases * operator_settings.leader_lease_share * settings.cancel_s;
+  limits->no_leader_retry_max_s =
+      std::clamp(static_cast<int>(std::ceil(election_s)), 1, kMaxRetryAfterS);
+}
+
 }  // namespace
 
 double Limits::WeightOf(const std::string& team) const {
@@ -63,42 +111,17 @@
   Limits limits;
   limits.fair = wanted.fair != 0;
   limits.max_active_jobs = static_cast<size_t>(operator_settings.max_active_jobs);
-  limits.busy_retry_s = static_cast<int>(operator_settings.retry_s) + 1;
   limits.teams = std::max<size_t>(1, settings.teams.size());
   limits.rate = wanted.rate_share * settings.state_write_rps;
   limits.tasks_per_record =
-      std::max(1.0, static_cast<double>(settings.ValueBytes()) / 4 / kBytesPerTask);
-  for (const config::Team& team : settings.teams) {
-    const auto it = wanted.team_weights.find(team.name);
-    const double weight = it == wanted.team_weights.end() ? 1.0 : it->second;
-    limits.team_weight[team.name] = weight;
-    limits.total_weight += weight;
-  }
-  limits.total_weight = std::max(limits.total_weight, 1.0);
-
-  const std::array<double, kTiers> weights = {wanted.prod_weight, wanted.high_weight,
-                                              wanted.standard_weight, wanted.best_effort_weight};
-  double sum = 0;
-  for (const double weight : weights) sum += weight;
-  for (size_t tier = 0; tier < kTiers; ++tier) {
-    limits.tier_rate[tier] = limits.rate * weights[tier] / sum;
-    limits.tier_burst[tier] = std::max(kRecordsPerJob, wanted.burst_s * limits.tier_rate[tier]);
-    // What is left of the users' patience after the latency of a round.
-    const double round = limits.total_weight + static_cast<double>(limits.teams) * kRecordsPerJob;
-    const double served = kPatienceShare * kUserRetryLimitS * limits.tier_rate[tier] - round;
-    limits.reservation_cost_per_weight[tier] = std::max(0.0, served) / limits.total_weight;
-  }
+      std::max(1.0, kProgressShare * static_cast<double>(settings.ValueBytes()) / kBytesPerTask);
+  SetTeamWeights(settings, wanted, &limits);
+  SetTierLimits(wanted, &limits);
+  SetRetryTimes(settings, operator_settings, &limits);
   limits.reservation_window_s = wanted.reservation_window_s;
   limits.max_unstored = static_cast<size_t>(
       std::max<double>(settings.state_txn_ops, std::ceil(limits.rate * wire::kSubmitTimeoutS / 2)));
-  limits.no_reservation_retry_min_s =
-      std::max(1, static_cast<int>(std::lround(kNoTurnRetryShare * kMaxRetryAfterS)));
-  limits.no_reservation_retry_max_s = kMaxRetryAfterS;
-  limits.no_leader_retry_max_s =
-      std::clamp(static_cast<int>(std::ceil(kElectionLeases * operator_settings.leader_lease_share *
-                                            settings.cancel_s)),
-                 1, kMaxRetryAfterS);
-  limits.follower_trickle =
+  limits.fallback_rate =
       std::max(1.0, limits.rate / static_cast<double>(settings.NodeCount()) / kRecordsPerJob);
   return limits;
 }
@@ -112,10 +135,8 @@
     return lines;
   }
   lines.push_back(Line("admission: %.2f record writes a second for new jobs", limits.rate));
-  static constexpr std::array<const char*, kTiers> kNames = {"prod", "high", "standard",
-                                                             "best_effort"};
   for (size_t tier = 0; tier < kTiers; ++tier) {
-    std::string line = std::string("admission: ") + kNames[tier];
+    std::string line = std::string("admission: ") + TierName(tier);
     line += Line(" is sure of %.2f writes a second", limits.tier_rate[tier]);
     line += Line(", a team of weight 1 holds turns worth %.1f",
                  limits.reservation_cost_per_weight[tier]);
@@ -129,7 +150,7 @@
   lines.push_back(Line("admission: at most %.0f admitted jobs wait for their record",
                        static_cast<double>(limits.max_unstored)));
   lines.push_back(Line("admission: a follower without a grant forwards %.1f submissions a second",
-                       limits.follower_trickle));
+                       limits.fallback_rate));
   return lines;
 }
 
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -137,7 +137,7 @@
   }
   Job* job = FindJob(id);
   if (job == nullptr) {
-    admission_.Withdraw(id);
+    admission_.CancelReservation(id);
     return CancelOutcome::kUnknown;
   }
   if (!job->stored) return CancelOutcome::kUndecided;
