--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -9,6 +9,8 @@
 #include <exception>
 #include <iostream>
 #include <string>
+#include <tl/expected.hpp>
+#include <utility>
 
 #include "admission/limits.h"
 #include "config/operator_settings.h"
@@ -19,6 +21,7 @@
 
 using zinclead::config::OperatorSettings;
 using zinclead::config::Settings;
+using zinclead::config::SettingsError;
 
 constexpr int kExitFailed = 1;
 constexpr int kExitInvalidSettings = 2;
@@ -53,21 +56,21 @@
   mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
 }
 
-// Reads both files. On failure writes one line to standard error and returns false.
-bool LoadConfiguration(const Options& options, Settings* settings,
-                       OperatorSettings* operator_settings) {
-  std::string error;
-  if (!zinclead::config::LoadSettings(options.settings_path, settings, &error)) {
-    std::cerr << "zinclead: " << options.settings_path << ": " << error << "\n";
-    return false;
-  }
-  if (options.operator_settings_path.empty()) return true;
-  if (!zinclead::config::LoadOperatorSettings(options.operator_settings_path, operator_settings,
-                                              &error)) {
-    std::cerr << "zinclead: " << options.operator_settings_path << ": " << error << "\n";
-    return false;
-  }
-  return true;
+struct Configuration {
+  Settings settings;
+  OperatorSettings operator_settings;
+};
+
+// Reads both files; the error names file, line or field.
+tl::expected<Configuration, SettingsError> LoadConfiguration(const Options& options) {
+  auto settings = zinclead::config::LoadSettings(options.settings_path);
+  if (!settings) return tl::unexpected(std::move(settings.error()));
+  Configuration configuration{*std::move(settings), {}};
+  if (options.operator_settings_path.empty()) return configuration;
+  auto operator_settings = zinclead::config::LoadOperatorSettings(options.operator_settings_path);
+  if (!operator_settings) return tl::unexpected(std::move(operator_settings.error()));
+  configuration.operator_settings = *std::move(operator_settings);
+  return configuration;
 }
 
 void PrintAdmissionLimits(const Settings& settings, const OperatorSettings& operator_settings) {
@@ -112,13 +115,15 @@
   app.add_flag("--check", options.check, "check the settings and end");
   CLI11_PARSE(app, argc, argv);
 
-  Settings settings;
-  OperatorSettings operator_settings;
-  if (!LoadConfiguration(options, &settings, &operator_settings)) return kExitInvalidSettings;
+  const auto configuration = LoadConfiguration(options);
+  if (!configuration) {
+    std::cerr << "zinclead: " << configuration.error().ToString() << "\n";
+    return kExitInvalidSettings;
+  }
   if (options.check) {
     std::cout << "settings are valid\n";
-    PrintAdmissionLimits(settings, operator_settings);
+    PrintAdmissionLimits(configuration->settings, configuration->operator_settings);
     return EXIT_SUCCESS;
   }
-  return Serve(settings, operator_settings);
+  return Serve(configuration->settings, configuration->operator_settings);
 }
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -74,7 +74,7 @@
   }
   Job* job = state_.FindJob(id);
   if (job == nullptr) {
-    state_.admission.Withdraw(id);
+    state_.admission.CancelReservation(id);
     return CancelOutcome::kUnknown;
   }
   if (!job->stored) return CancelOutcome::kUndecided;
--- a/src/core/scheduling/job_objectives.cc
+++ b/src/core/scheduling/job_objectives.cc
@@ -29,8 +29,9 @@
   if (job.spec.deadline_s) latest.after_s = *job.spec.deadline_s - run_s;
   for (const config::Objective& objective : settings.objectives) {
     if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
-    if (objective.kind == "wait") latest.after_s = std::min(latest.after_s, objective.within_s);
-    if (objective.kind == "finished") {
+    if (objective.kind == config::ObjectiveKind::kWait)
+      latest.after_s = std::min(latest.after_s, objective.within_s);
+    if (objective.kind == config::ObjectiveKind::kFinished) {
       latest.after_s = std::min(latest.after_s, objective.within_s - run_s);
       latest.patience_share = kFinishPatienceShare;
     }
@@ -44,7 +45,8 @@
   const auto& objectives = settings.objectives;
   const auto it =
       std::find_if(objectives.begin(), objectives.end(), [&](const config::Objective& objective) {
-        return objective.job_class == job.spec.job_class && objective.kind == "wait";
+        return objective.job_class == job.spec.job_class &&
+               objective.kind == config::ObjectiveKind::kWait;
       });
   return it == objectives.end() ? nullptr : &*it;
 }
@@ -56,11 +58,12 @@
 
 bool HasDeadline(const config::Settings& settings, const Job& job) {
   if (job.spec.kind != wire::JobKind::kArray) return false;
-  return job.spec.deadline_s || std::any_of(settings.objectives.begin(), settings.objectives.end(),
-                                            [&](const config::Objective& objective) {
-                                              return objective.job_class == job.spec.job_class &&
-                                                     objective.kind == "finished";
-                                            });
+  return job.spec.deadline_s ||
+         std::any_of(settings.objectives.begin(), settings.objectives.end(),
+                     [&](const config::Objective& objective) {
+                       return objective.job_class == job.spec.job_class &&
+                              objective.kind == config::ObjectiveKind::kFinished;
+                     });
 }
 
 bool CanWaitForSpot(const ClusterState& state, const Job& job, double now) {
