--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -92,6 +92,17 @@
                                       static_cast<ev_ssize_t>(max_response_));
 }
 
+evhttp_request* HttpClient::CreateRequest(Connection* connection, const std::string& body) const {
+  evhttp_request* request = evhttp_request_new(&HttpClient::OnResponse, connection);
+  evkeyvalq* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Host", host_.c_str());
+  if (!body.empty()) {
+    evhttp_add_header(headers, "Content-Type", "application/json");
+    evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+  }
+  return request;
+}
+
 void HttpClient::Start(Connection* connection, PendingCall call) {
   connection->busy = true;
   connection->done = std::move(call.done);
@@ -101,14 +112,7 @@
   // The timer below bounds the whole call; the connection's own timeout only backs it up.
   const timeval backup_timeout = ToTimeval(2 * (remaining_s > 0 ? remaining_s : 1));
   evhttp_connection_set_timeout_tv(evhttp, &backup_timeout);
-  connection->request = evhttp_request_new(&HttpClient::OnResponse, connection);
-  evkeyvalq* headers = evhttp_request_get_output_headers(connection->request);
-  evhttp_add_header(headers, "Host", host_.c_str());
-  if (!call.body.empty()) {
-    evhttp_add_header(headers, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(connection->request), call.body.data(),
-                 call.body.size());
-  }
+  connection->request = CreateRequest(connection, call.body);
   loop_->StartTimer(
       &connection->timer, remaining_s, [this, connection] { OnTimeout(connection); }, priority_);
   if (evhttp_make_request(evhttp, connection->request, MethodOf(call.method), call.path.c_str()) !=
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -51,6 +51,7 @@
   static void OnResponse(evhttp_request* request, void* connection);
   void Start(Connection* connection, PendingCall call);
   void Open(Connection* connection);
+  evhttp_request* CreateRequest(Connection* connection, const std::string& body) const;
   void OnTimeout(Connection* connection);
   void Finish(Connection* connection, Response response);
   void StartQueuedCalls();
