--- a/src/admission/admission_policy.cc
+++ b/src/admission/admission_policy.cc
@@ -36,8 +36,8 @@
 }
 
 void AdmissionPolicy::AddAccepted(const std::string& id, double accepted_at, double now) {
-  if (limits_.fair && accepted_at + kUserRetryLimitS >= now)
-    recently_accepted_.emplace(accepted_at, id);
+  const bool may_be_repeated = accepted_at + kUserRetryLimitS >= now;
+  if (limits_.fair && may_be_repeated) recently_accepted_.emplace(accepted_at, id);
 }
 
 void AdmissionPolicy::EraseOldAccepted(double now) {
@@ -66,8 +66,8 @@
 
 // Each follower may use all that is free: the leader decides in the end, and a team that sends
 // little must not be shut out because its few submissions reach the same follower.
-std::vector<std::map<std::string, uint64_t>> AdmissionPolicy::CreditsByTier() const {
-  std::vector<std::map<std::string, uint64_t>> credits(kTiers);
+std::vector<wire::CreditsByTeam> AdmissionPolicy::CreditsByTier() const {
+  std::vector<wire::CreditsByTeam> credits(kTiers);
   for (size_t tier = 0; tier < kTiers; ++tier) {
     for (const auto& [team, weight] : limits_.team_weight) {
       credits[tier][team] = FreeReservations(team, tier);
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -12,7 +12,6 @@
 #include <array>
 #include <cstddef>
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <random>
 #include <set>
@@ -111,7 +110,7 @@
 
   // Number of submissions of least cost that the team's queue has capacity for.
   uint64_t FreeReservations(const std::string& team, size_t tier) const;
-  std::vector<std::map<std::string, uint64_t>> CreditsByTier() const;
+  std::vector<wire::CreditsByTeam> CreditsByTier() const;
   BloomFilter ReservationFilter() const;
   BloomFilter AcceptedFilter() const;
   void EraseOldAccepted(double now);
--- a/src/admission/credit_gate.h
+++ b/src/admission/credit_gate.h
@@ -66,7 +66,7 @@
   double last_announcement_at_ = 0;
   bool has_leader_ = false;
   bool unlimited_ = false;
-  std::vector<std::map<std::string, uint64_t>> credits_;  // by tier and team
+  std::vector<wire::CreditsByTeam> credits_;  // by tier
   BloomFilter reservations_;
   BloomFilter accepted_;
   // Token buckets in submissions, by team; all unknown teams share the one named "".
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -72,7 +72,7 @@
 
 SettingsResult<double> ParseNumberInRange(const std::string& field, const std::string& text,
                                           double min, double max) {
-  const SettingsResult<double> value = ParseNumber(field, text);
+  SettingsResult<double> value = ParseNumber(field, text);
   if (value && (*value < min || *value > max)) {
     std::ostringstream reason;
     reason << "must be from " << min << " to " << max;
--- a/src/wire/cloud_api.cc
+++ b/src/wire/cloud_api.cc
@@ -77,12 +77,14 @@
 bool IsNoCapacity(std::string_view body) { return HasError(ParseJson(body), kNoCapacityError); }
 
 ParseResult<MachinePage> ParseMachinePage(std::string_view body) {
-  auto machines = ParseList<ListedMachine>(body, field::kMachines, ListedMachineFromJson);
-  if (!machines) return tl::unexpected<ParseError>(std::move(machines.error()));
-  MachinePage page;
-  page.machines = std::move(*machines);
-  page.more = ParseJson(body).value(field::kTruncated, false);
-  return page;
+  const Json json = ParseJson(body);
+  JsonReader reader(json);
+  const Json* list = reader.Array(field::kMachines);
+  if (list == nullptr) return reader.Failure();
+  return ParseItems<ListedMachine>(*list, ListedMachineFromJson)
+      .map([&](std::vector<ListedMachine> machines) {
+        return MachinePage{std::move(machines), json.value(field::kTruncated, false)};
+      });
 }
 
 std::string MachineListPath(const std::string& after, int limit) {
--- a/src/wire/json_reader.h
+++ b/src/wire/json_reader.h
@@ -73,18 +73,12 @@
   std::optional<ParseError> error_;
 };
 
-// Parses `body`, an object whose field `name` is a list, with `parse_item` for each of its items.
-// Fails with the first item's error.
+// Parses each item of `list` with `parse_item`. Fails with the first item's error.
 template <typename T, typename ParseItem>
-[[nodiscard]] ParseResult<std::vector<T>> ParseList(std::string_view body, const char* name,
-                                                    ParseItem&& parse_item) {
-  const Json json = ParseJson(body);
-  JsonReader reader(json);
-  const Json* list = reader.Array(name);
-  if (list == nullptr) return reader.Failure();
+[[nodiscard]] ParseResult<std::vector<T>> ParseItems(const Json& list, ParseItem&& parse_item) {
   std::vector<T> items;
-  items.reserve(list->size());
-  for (const Json& entry : *list) {
+  items.reserve(list.size());
+  for (const Json& entry : list) {
     ParseResult<T> item = parse_item(entry);
     if (!item) return tl::unexpected<ParseError>(std::move(item.error()));
     items.push_back(std::move(*item));
@@ -92,6 +86,17 @@
   return items;
 }
 
+// Parses `body`, an object whose field `name` is a list, in the same way.
+template <typename T, typename ParseItem>
+[[nodiscard]] ParseResult<std::vector<T>> ParseList(std::string_view body, const char* name,
+                                                    ParseItem&& parse_item) {
+  const Json json = ParseJson(body);
+  JsonReader reader(json);
+  const Json* list = reader.Array(name);
+  if (list == nullptr) return reader.Failure();
+  return ParseItems<T>(*list, std::forward<ParseItem>(parse_item));
+}
+
 // Parses an item of a list of strings.
 [[nodiscard]] ParseResult<std::string> StringFromJson(const Json& json);
 
--- a/src/wire/peer_messages.cc
+++ b/src/wire/peer_messages.cc
@@ -27,10 +27,10 @@
   return json;
 }
 
-ParseResult<std::map<std::string, uint64_t>> CreditsByTeamFromJson(const Json& json) {
+ParseResult<CreditsByTeam> CreditsByTeamFromJson(const Json& json) {
   constexpr const char* kReason = "must hold non-negative integers by team";
   if (!json.is_object()) return ParseFailure(peer_field::kCreditsByTier, kReason);
-  std::map<std::string, uint64_t> credits;
+  CreditsByTeam credits;
   for (const auto& [team, count] : json.items()) {
     if (!count.is_number_unsigned()) return ParseFailure(peer_field::kCreditsByTier, kReason);
     credits[team] = count.get<uint64_t>();
@@ -47,11 +47,9 @@
   reader.String(peer_field::kAccepted, &grant.accepted, kMaxFilterText);
   const Json* tiers = reader.Array(peer_field::kCreditsByTier);
   if (!reader.ok()) return reader.Failure();
-  for (const Json& tier : *tiers) {
-    auto credits = CreditsByTeamFromJson(tier);
-    if (!credits) return tl::unexpected<ParseError>(std::move(credits.error()));
-    grant.by_tier.push_back(std::move(*credits));
-  }
+  auto by_tier = ParseItems<CreditsByTeam>(*tiers, CreditsByTeamFromJson);
+  if (!by_tier) return tl::unexpected<ParseError>(std::move(by_tier.error()));
+  grant.by_tier = std::move(*by_tier);
   return grant;
 }
 
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -33,12 +33,15 @@
   uint64_t term = 0;  // the highest term the sender knows
 };
 
+// Numbers of submissions.
+using CreditsByTeam = std::map<std::string, uint64_t>;
+
 // Which submissions a follower may forward to the leader until the next grant. Optional: versions
 // without fair admission neither send nor read it.
 struct CreditGrant {
   bool limited = false;  // false: all may be forwarded
   // Submissions of ids that the leader doesn't know, by tier and team.
-  std::vector<std::map<std::string, uint64_t>> by_tier;
+  std::vector<CreditsByTeam> by_tier;
   std::string reservations;  // admission::BloomFilter of the ids that hold a reservation
   std::string accepted;      // admission::BloomFilter of the ids that were accepted lately
 };
--- a/src/wire/store_api.cc
+++ b/src/wire/store_api.cc
@@ -52,18 +52,15 @@
 ParseResult<StorePage> ParseStorePage(std::string_view body) {
   const Json json = ParseJson(body);
   JsonReader reader(json);
-  StorePage page;
   const Json* list = reader.Array(field::kItems);
-  reader.Unsigned(field::kRevision, &page.revision);
-  reader.Bool(field::kTruncated, &page.more);
+  uint64_t revision = 0;
+  bool more = false;
+  reader.Unsigned(field::kRevision, &revision);
+  reader.Bool(field::kTruncated, &more);
   if (!reader.ok()) return reader.Failure();
-  page.items.reserve(list->size());
-  for (const Json& entry : *list) {
-    auto item = StoreItemFromJson(entry);
-    if (!item) return tl::unexpected<ParseError>(std::move(item.error()));
-    page.items.push_back(std::move(*item));
-  }
-  return page;
+  return ParseItems<StoreItem>(*list, StoreItemFromJson).map([&](std::vector<StoreItem> items) {
+    return StorePage{std::move(items), more, revision};
+  });
 }
 
 std::string StoreKeyPath(const std::string& key) { return std::string(kStorePath) + "/" + key; }
--- a/src/wire/worker_api.h
+++ b/src/wire/worker_api.h
@@ -87,7 +87,7 @@
 [[nodiscard]] std::string CommandsBody(uint64_t fencing_token, const std::vector<Command>& commands,
                                        std::optional<uint64_t> agent_epoch = std::nullopt);
 
-// Body of a 421 answer: the worker turns to `node`, or to any other node if that is empty.
+// Body of a 421 answer: the worker reports to `node`, or to any other node if that is empty.
 [[nodiscard]] std::string RedirectBody(const std::string& node);
 
 }  // namespace zinclead::wire
--- a/tests/admission/admission_policy_test.cc
+++ b/tests/admission/admission_policy_test.cc
@@ -139,8 +139,9 @@
 TEST(AdmissionPolicy, DelaysNobodyBeyondTheBoundWhenFollowersAreIsolated) {
   const Limits limits = MakeLimits(6);
   SimulatedUsers users(limits, 4, 13);
-  for (int i = 0; i < 30; ++i)
+  for (int i = 0; i < 30; ++i) {
     users.Add(0, kStandard, 1000 + i, 100, SimulatedUsers::Retry::kEachSecond);
+  }
   for (int i = 0; i < 40; ++i) users.Add(1 + i % 5, kStandard, 1003 + 0.5 * i, 1);
   users.RunUntil(1005);
   users.isolated_followers = {1, 2};
--- a/tests/admission/bloom_filter_test.cc
+++ b/tests/admission/bloom_filter_test.cc
@@ -22,8 +22,9 @@
   BloomFilter filter(1000);
   for (int i = 0; i < 1000; ++i) filter.Add("req-" + std::to_string(100'000 + i));
   int passed = 0;
-  for (int i = 0; i < 10'000; ++i)
+  for (int i = 0; i < 10'000; ++i) {
     passed += filter.MayContain("req-" + std::to_string(200'000 + i));
+  }
   EXPECT_LT(passed, 300);
   EXPECT_FALSE(BloomFilter().MayContain("req-000001"));
   EXPECT_FALSE(BloomFilter::FromText("abc").has_value());
