--- a/tests/scheduler_thread_test.cc
+++ b/tests/scheduler_thread_test.cc
@@ -66,8 +66,7 @@
   // A job whose record waits to be written, so that each later cycle is handed over.
   static double Submit(core::LockedCluster* cluster, const std::string& id) {
     return cluster->WithLock([&](core::Cluster& locked) {
-      std::string error;
-      EXPECT_EQ(locked.Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow(), &error),
+      EXPECT_EQ(locked.Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow()).outcome,
                 core::SubmitOutcome::kAccepted);
       return locked.NextWake();
     });
