--- a/src/core/attempt_tracker.cc
+++ b/src/core/attempt_tracker.cc
@@ -44,12 +44,14 @@
   attempt->holds_allocation = false;
   attempt->machine->used -= attempt->job->request;
   if (attempt->job->spec.kind == wire::JobKind::kService) --attempt->machine->services;
-  if (attempt->job->spec.kind == wire::JobKind::kArray)
+  if (attempt->job->spec.kind == wire::JobKind::kArray) {
     ArrayUse(attempt->machine, *attempt->job) -= attempt->job->request;
+  }
   if (attempt->stop) --attempt->machine->stopping;
   state_.team_usage[attempt->job->spec.team] -= attempt->job->request;
-  if (--attempt->job->zone_counts[attempt->machine->zone] <= 0)
+  if (--attempt->job->zone_counts[attempt->machine->zone] <= 0) {
     attempt->job->zone_counts.erase(attempt->machine->zone);
+  }
   if (IsExecuting(attempt->phase)) --attempt->job->running;
   state_.schedule_due = true;
 }
@@ -60,8 +62,9 @@
   Machine* machine = attempt->machine;
   ReturnTaskToPending(attempt, wire::EndCause::kNone, now);
   state_.unsent_services.erase(KeyOf(*attempt));
-  if (job->gang && job->pending > 0)
+  if (job->gang && job->pending > 0) {
     state_.schedule_due = true;  // the lost task may be replaced on this machine
+  }
   job->attempts.erase(attempt);
   machine->attempts.erase(KeyOf(*attempt));
   if (machine->attempts.empty()) machine->idle_since = now;
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -24,12 +24,14 @@
 
 SubmitResult Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now) {
   if (state_.finished.contains(spec.id)) return {SubmitOutcome::kKnown, ""};
-  if (const Job* known = state_.FindJob(spec.id))
+  if (const Job* known = state_.FindJob(spec.id)) {
     return {known->stored ? SubmitOutcome::kKnown : SubmitOutcome::kPendingStore, ""};
+  }
   const config::Team* team = state_.settings.FindTeam(spec.team);
   if (team == nullptr) return {SubmitOutcome::kUnprocessable, "unknown team"};
-  if (!FitsTeamLimit(spec, *team))
+  if (!FitsTeamLimit(spec, *team)) {
     return {SubmitOutcome::kUnprocessable, "more than the team's limit"};
+  }
   if (state_.types.empty()) return {SubmitOutcome::kUndecided, ""};
   if (const char* reason = WhyUnplaceable(spec)) return {SubmitOutcome::kUnprocessable, reason};
   return Admit(spec, now, wall_now);
@@ -37,10 +39,12 @@
 
 const char* Cluster::WhyUnplaceable(const wire::JobSpec& spec) const {
   if (std::none_of(state_.types.begin(), state_.types.end(),
-                   [&](const auto& entry) { return FitsType(spec, entry.second); }))
+                   [&](const auto& entry) { return FitsType(spec, entry.second); })) {
     return "a task fits no allowed machine type";
-  if (spec.kind == wire::JobKind::kGang && !CanRunTogether(spec))
+  }
+  if (spec.kind == wire::JobKind::kGang && !CanRunTogether(spec)) {
     return "its tasks can never run together: at most half of them may be in one zone";
+  }
   return nullptr;
 }
 
@@ -137,8 +141,10 @@
   CloudActions cloud_actions;
   lifecycle_.CheckMachines(now, lease_expired, &cloud_actions);
   reconciler_.CheckReconciled();
-  if (now >= state_.cycle_rate_limiter.next_at() && (state_.schedule_due || now >= state_.retry_at))
+  if (now >= state_.cycle_rate_limiter.next_at() &&
+      (state_.schedule_due || now >= state_.retry_at)) {
     scheduler_.RunSchedulingCycle(now);
+  }
   registry_.IssueScaleOut(now, &cloud_actions);
   state_.next_wake = std::min(now + state_.settings.heartbeat_interval_s / 2,
                               std::max(state_.retry_at, state_.cycle_rate_limiter.next_at()));
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -267,14 +267,16 @@
     scale_out->machines[id] = true;
     machine->dispatchable = true;
   }
-  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(ScaleOutKey(name)))
+  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(ScaleOutKey(name))) {
     state_.scale_outs.erase(it);
+  }
 }
 
 void DurableState::Finalize(Job* job, FinalState state, double now) {
   job->final_state = state;
-  if (state_.active_jobs.erase({job->accepted_ms, job->spec.id}) > 0)
+  if (state_.active_jobs.erase({job->accepted_ms, job->spec.id}) > 0) {
     state_.admission.OnEnded(job->spec.team);
+  }
   if (state == FinalState::kDone) {
     for (TaskState& task : job->tasks) task = TaskState::kDone;
     job->done_stored = job->spec.tasks;
--- a/src/core/failover_reconciler.cc
+++ b/src/core/failover_reconciler.cc
@@ -13,8 +13,9 @@
   state_.schedule_due = true;
   std::vector<Job*> finished;
   for (auto& [id, job] : state_.jobs) {
-    if (job->final_state != FinalState::kNone && job->attempts.empty())
+    if (job->final_state != FinalState::kNone && job->attempts.empty()) {
       finished.push_back(job.get());
+    }
   }
   for (Job* job : finished) attempts_.ArchiveJobIfFinished(job);
 }
--- a/src/core/gang_lifecycle.cc
+++ b/src/core/gang_lifecycle.cc
@@ -54,8 +54,9 @@
     gang.On(GangEvent::kSeenRunning);
   } else {
     ++attempt->waiting_heartbeats;
-    if (attempt->job->pending > 0 && attempt->waiting_heartbeats == kHeartbeatsToReplace)
+    if (attempt->job->pending > 0 && attempt->waiting_heartbeats == kHeartbeatsToReplace) {
       state_.schedule_due = true;
+    }
   }
 }
 
--- a/src/core/heartbeat_handler.cc
+++ b/src/core/heartbeat_handler.cc
@@ -155,8 +155,9 @@
 void HeartbeatHandler::ScheduleOn(Machine* machine, double now) {
   // A start waits for the heartbeat of its machine, up to the longest heartbeat interval. What
   // waits for another machine's is started here if this one suits as well.
-  if (!state_.unsent_services.empty() && machine->Usable())
+  if (!state_.unsent_services.empty() && machine->Usable()) {
     scheduler_.StealUnsentServices(machine, now);
+  }
 
   // Freed capacity is used in this very response rather than in the next one.
   if (!state_.schedule_due || !machine->Usable()) return;
@@ -171,11 +172,13 @@
                                       std::vector<wire::Command>* commands) {
   for (auto& [key, attempt] : machine->attempts) {
     if (attempt->phase == AttemptPhase::kEnded) {
-      if (MayAcknowledgeCompletion(*attempt))
+      if (MayAcknowledgeCompletion(*attempt)) {
         commands->push_back(CommandFor(wire::CommandOp::kAcknowledgeCompletion, *attempt));
+      }
     } else if (attempt->stop) {
-      if (attempt->phase != AttemptPhase::kSaving || attempt->grace_s == 0)
+      if (attempt->phase != AttemptPhase::kSaving || attempt->grace_s == 0) {
         commands->push_back(CommandFor(wire::CommandOp::kStop, *attempt, attempt->grace_s));
+      }
     } else if (attempt->phase == AttemptPhase::kPlaced && !lease_expired && attempt->job->Live()) {
       // What ends with the leader's lease is the right to start, not the duty to keep the workers'
       // leases alive: a newer leader may have told a user that the job is cancelled, and from then
@@ -213,8 +216,9 @@
                                                              double now) const {
   const double since_last_s = now - machine.last_heartbeat_at;
   if (machine.agent_epoch == 0 ||
-      since_last_s < kResponseDelayShare * state_.settings.heartbeat_interval_s)
+      since_last_s < kResponseDelayShare * state_.settings.heartbeat_interval_s) {
     return Delivery::kUnknown;
+  }
   if (new_epoch) {
     // Its epoch ended although its heartbeats were answered.
     return since_last_s < state_.settings.lease_s ? Delivery::kMissed : Delivery::kUnknown;
@@ -236,8 +240,9 @@
   if (machine->ReceivesCommands()) return;
   std::vector<Attempt*> undelivered;
   for (auto& [key, attempt] : machine->attempts) {
-    if (attempt->phase == AttemptPhase::kPlaced && !attempt->listed)
+    if (attempt->phase == AttemptPhase::kPlaced && !attempt->listed) {
       undelivered.push_back(attempt.get());
+    }
   }
   for (Attempt* attempt : undelivered) attempts_.RemoveAttempt(attempt, now);
 }
@@ -296,8 +301,9 @@
     }
   }
   if (executing) job->started = true;
-  if (executing || phase == AttemptPhase::kWaiting)
+  if (executing || phase == AttemptPhase::kWaiting) {
     attempt->machine->images.insert(job->spec.image);
+  }
   attempt->phase = phase;
   if (job->gang) attempts_.OnGangTaskListed(attempt);
   if (job->final_state != FinalState::kNone) attempts_.StopAttempt(attempt, 0, now);
@@ -345,8 +351,9 @@
     for (auto& [id, other] : state_.machines) other->failed_jobs.erase(job->spec.id);
     return;
   }
-  if (machine->failed_jobs.size() >= kFaultyMachineThreshold)
+  if (machine->failed_jobs.size() >= kFaultyMachineThreshold) {
     lifecycle_.CordonAndStop(machine, now);
+  }
 }
 
 // A completion is acknowledged only when it is durable: until then the worker's list is what a new
--- a/src/core/machine_lifecycle.cc
+++ b/src/core/machine_lifecycle.cc
@@ -106,15 +106,17 @@
 // It has missed nothing for a lease and its epoch goes on: responses reached it.
 void MachineLifecycle::ForgetOldDeliveryFailures(Machine* machine, double now) const {
   if (machine->unacknowledged_responses > 0 &&
-      now - machine->last_unacknowledged_at > LongestLeaseS())
+      now - machine->last_unacknowledged_at > LongestLeaseS()) {
     machine->unacknowledged_responses = 0;
+  }
 }
 
 void MachineLifecycle::TerminateIfUnreachable(Machine* machine, const FleetHealth& fleet,
                                               double now) const {
   if (!fleet.few_downlinks_lost || machine->downlink_lost || machine->stage != MachineStage::kUp ||
-      !SeemsUnreachable(*machine, now))
+      !SeemsUnreachable(*machine, now)) {
     return;
+  }
   machine->downlink_lost = true;
   machine->Terminate();
 }
@@ -127,15 +129,17 @@
                                                    double now) const {
   if (fleet.few_silent && fleet.inherited_work_waits && machine->stage == MachineStage::kUp &&
       !machine->acknowledged && !machine->Terminating() &&
-      now - std::max(machine->last_heartbeat_at, state_.started_at) > FailoverSilenceS())
+      now - std::max(machine->last_heartbeat_at, state_.started_at) > FailoverSilenceS()) {
     machine->Terminate();
+  }
 }
 
 void MachineLifecycle::TerminateIfBootFailed(Machine* machine, double now) const {
   if (machine->stage == MachineStage::kBooting && !machine->Terminating() &&
       machine->type != nullptr &&
-      now - machine->requested_at > state_.operator_settings.boot_give_up * machine->type->boot_s)
+      now - machine->requested_at > state_.operator_settings.boot_give_up * machine->type->boot_s) {
     machine->Terminate();
+  }
 }
 
 // Machines that only the cloud's list names boot by themselves or are given up like the rest;
@@ -143,8 +147,9 @@
 // it is given nothing: TerminateIfUnreachable decides on it.
 void MachineLifecycle::TerminateIfIdle(Machine* machine, double now) {
   if (machine->stage != MachineStage::kUp || machine->Terminating() || !machine->acknowledged ||
-      !machine->ReceivesCommands() || !machine->attempts.empty())
+      !machine->ReceivesCommands() || !machine->attempts.empty()) {
     return;
+  }
   const bool idle = now - machine->idle_since >= state_.operator_settings.idle_s;
   const bool reserved = NeededAsHeadroom(*machine) || state_.gang_headroom.contains(machine->id);
   const bool charge_paid =
@@ -156,8 +161,9 @@
 }
 
 void MachineLifecycle::TerminateIfEmptied(Machine* machine) {
-  if (!machine->Schedulable() && machine->attempts.empty() && machine->acknowledged)
+  if (!machine->Schedulable() && machine->attempts.empty() && machine->acknowledged) {
     machine->Terminate();
+  }
 }
 
 // That the cloud has reclaimed it can't be seen; an answered termination can.
@@ -166,8 +172,9 @@
 }
 
 void MachineLifecycle::SendTermination(Machine* machine, double now, CloudActions* cloud_actions) {
-  if (!machine->Terminating() || machine->TerminationSent() || machine->terminate_retry_at > now)
+  if (!machine->Terminating() || machine->TerminationSent() || machine->terminate_retry_at > now) {
     return;
+  }
   machine->OnTerminationSent();
   cloud_actions->scale_in.push_back(machine->id);
 }
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -30,8 +30,9 @@
   machine->record = record->name;
   machine->requested_at = record->requested_at;
   machine->idle_since = now;
-  if (const auto type = state_.types.find(machine->type_name); type != state_.types.end())
+  if (const auto type = state_.types.find(machine->type_name); type != state_.types.end()) {
     SetType(machine, type->second);
+  }
   record->machines.emplace(id, false);
   ++state_.machines_in_zone[machine->zone];
   state_.machines[id] = std::move(owned);
@@ -86,8 +87,9 @@
     wire::MachineType previous = it->second;
     it->second = type;
     previous.spot_price = type.spot_price;  // changes all the time: no reason to store it again
-    if (added || wire::ToJson(previous) != wire::ToJson(type))
+    if (added || wire::ToJson(previous) != wire::ToJson(type)) {
       queue_.Enqueue(MachineTypeKey(type.name), Importance::kNormal);
+    }
   }
   for (auto& [id, machine] : state_.machines) {
     if (machine->type != nullptr) continue;
--- a/src/core/record_keys.cc
+++ b/src/core/record_keys.cc
@@ -19,10 +19,12 @@
   const auto rest = [&](std::string_view prefix) { return key.substr(prefix.size()); };
   if (key.starts_with(kJobPrefix)) return {RecordKind::kJob, std::string(rest(kJobPrefix)), 0};
   if (key.starts_with(kDonePrefix)) return ParseProgressKey(rest(kDonePrefix));
-  if (key.starts_with(kMachinePrefix))
+  if (key.starts_with(kMachinePrefix)) {
     return {RecordKind::kScaleOut, std::string(rest(kMachinePrefix)), 0};
-  if (key.starts_with(kTypePrefix))
+  }
+  if (key.starts_with(kTypePrefix)) {
     return {RecordKind::kMachineType, std::string(rest(kTypePrefix)), 0};
+  }
   return {};
 }
 
