--- a/tests/attempt_counts.cc
+++ b/tests/attempt_counts.cc
@@ -35,13 +35,15 @@
     const Job& job = *attempt->job;
     used += job.request;
     if (job.spec.kind == wire::JobKind::kService) ++services;
-    if (job.spec.kind == wire::JobKind::kArray)
+    if (job.spec.kind == wire::JobKind::kArray) {
       array_use[static_cast<size_t>(job.spec.priority)] += job.request;
+    }
     if (attempt->stop) ++stopping;
   }
   ExpectNear(machine.used, used, machine.id);
-  for (size_t i = 0; i < array_use.size(); ++i)
+  for (size_t i = 0; i < array_use.size(); ++i) {
     ExpectNear(machine.array_use[i], array_use[i], machine.id + " arrays");
+  }
   EXPECT_EQ(machine.services, services) << machine.id;
   EXPECT_EQ(machine.stopping, stopping) << machine.id;
 }
--- a/tests/cluster_model_oracle.cc
+++ b/tests/cluster_model_oracle.cc
@@ -56,8 +56,9 @@
 
 void World::Check() {
   DeliverDelayed();
-  if (++checks_ % kChecksPerRecount == 0)
+  if (++checks_ % kChecksPerRecount == 0) {
     ExpectCountsMatchAttempts(leader().machines(), leader().jobs());
+  }
   std::set<std::string> live;
   double capped = 0;
   for (const auto& [id, worker] : workers_) {
@@ -97,8 +98,9 @@
     const std::string name = wire::TaskName(spec.id, i);
     waits = !completed_.contains(name) && !live.contains(name);
   }
-  if (!waits || (spec.team == "capped" && capped_use_ + spec.cpus > CappedTeamLimit()))
+  if (!waits || (spec.team == "capped" && capped_use_ + spec.cpus > CappedTeamLimit())) {
     return false;
+  }
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
     const Worker& worker = entry.second;
     if (worker.dead || now_ < worker.up_at || (worker.spot && !spec.spot)) return false;
--- a/tests/cluster_model_workers.cc
+++ b/tests/cluster_model_workers.cc
@@ -74,8 +74,9 @@
     flight.to = pinned->second.first;
   }
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].alive && nodes_[i].IsolatedWithZone(now_) && nodes_[i].zone == worker->zone)
+    if (nodes_[i].alive && nodes_[i].IsolatedWithZone(now_) && nodes_[i].zone == worker->zone) {
       flight.to = i;
+    }
   }
   if (nodes_[flight.to].IsolatedWithZone(now_) && nodes_[flight.to].zone != worker->zone) {
     flight.arrives_at = 1e18;
@@ -123,8 +124,9 @@
     InFlightHeartbeat flight = delayed_.begin()->second;
     delayed_.erase(delayed_.begin());
     flight.to = scripted_ || Chance(0.7) ? nodes_.size() - 1 : random_() % nodes_.size();
-    if (flight.heartbeat.fencing_token < nodes_[flight.to].cluster->term())
+    if (flight.heartbeat.fencing_token < nodes_[flight.to].cluster->term()) {
       ++coverage.stale_at_new_leader;
+    }
     if (terminated_.contains(flight.heartbeat.machine)) ++coverage.delayed_of_terminated;
     if (now_ - flight.sent_at > settings_.lease_s) ++coverage.delayed_over_lease;
     HandleAtLeader(&flight);
--- a/tests/core/attempt_tracker_test.cc
+++ b/tests/core/attempt_tracker_test.cc
@@ -40,8 +40,9 @@
     if (job->tasks[index] == TaskState::kPending) tracker_.Activate(attempt);
   }
   void StopOne() {
-    if (Attempt* attempt = AnyAttempt())
+    if (Attempt* attempt = AnyAttempt()) {
       tracker_.StopAttempt(attempt, *rc::gen::inRange(0, 3), kNow);
+    }
   }
   // As HeartbeatHandler does it for a listed end.
   void EndOne() {
