--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -78,7 +78,7 @@
     double until = 0;
     double backoff_s = 0;
   };
-  std::map<MachineOfferKey, CapacityBackoff> capacity_backoffs;
+  std::map<MachineOffer, CapacityBackoff> capacity_backoffs;
   TokenBucket scale_out_rate_limiter;
 
   // While loading: the progress chunks by job and chunk number.
--- a/src/core/scheduling/machine_offer.h
+++ b/src/core/machine_offer.h
@@ -1,6 +1,6 @@
 // Names what the cloud offers for scale-out: a machine type in a zone, spot or on demand.
-#ifndef ZINCLEAD_CORE_SCHEDULING_MACHINE_OFFER_H_
-#define ZINCLEAD_CORE_SCHEDULING_MACHINE_OFFER_H_
+#ifndef ZINCLEAD_CORE_MACHINE_OFFER_H_
+#define ZINCLEAD_CORE_MACHINE_OFFER_H_
 
 #include <compare>
 #include <string>
@@ -17,4 +17,4 @@
 
 }  // namespace zinclead::core
 
-#endif  // ZINCLEAD_CORE_SCHEDULING_MACHINE_OFFER_H_
+#endif  // ZINCLEAD_CORE_MACHINE_OFFER_H_
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -124,7 +124,7 @@
 }
 
 // Asking again for what the cloud has too few of costs scale-out tokens that others wait for.
-void MachineRegistry::UpdateCapacityBackoff(const MachineOfferKey& offer, bool short_of_capacity,
+void MachineRegistry::UpdateCapacityBackoff(const MachineOffer& offer, bool short_of_capacity,
                                             double now) {
   if (!short_of_capacity) {
     state_.capacity_backoffs.erase(offer);
--- a/src/core/machine_registry.h
+++ b/src/core/machine_registry.h
@@ -42,7 +42,7 @@
   void AdoptListedMachine(const wire::ListedMachine& listed, double now);
   void RemoveMachine(const std::string& id, double now);
   ScaleOutRecord* RecordOf(const Machine& machine);
-  void UpdateCapacityBackoff(const MachineOfferKey& offer, bool short_of_capacity, double now);
+  void UpdateCapacityBackoff(const MachineOffer& offer, bool short_of_capacity, double now);
   double CloudRetryInterval() const;
 
   ClusterState& state_;
--- a/src/core/scale_out_record.h
+++ b/src/core/scale_out_record.h
@@ -2,24 +2,16 @@
 #ifndef ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 #define ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 
-#include <compare>
 #include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
+#include "core/machine_offer.h"
 #include "wire/wire.h"
 
 namespace zinclead::core {
 
-// What the cloud offers and can run out of: machines of a type in a zone, spot or not.
-struct MachineOfferKey {
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  auto operator<=>(const MachineOfferKey&) const = default;  // NOLINT(modernize-use-nullptr)
-};
-
 enum class ScaleOutPhase : uint8_t {
   kQueued,    // decided; its name must be durable before it is sent
   kDurable,   // may be sent
@@ -41,7 +33,7 @@
   double requested_at = 0;               // the stored record holds the time of day
   std::map<std::string, bool> machines;  // id -> dispatchable: a task may be on it
 
-  MachineOfferKey Offer() const { return {type, zone, spot}; }
+  MachineOffer Offer() const { return {type, zone, spot}; }
   bool Answered() const { return phase == ScaleOutPhase::kAnswered; }
   void OnStored() {
     if (phase == ScaleOutPhase::kQueued) phase = ScaleOutPhase::kDurable;
--- a/src/core/scheduling/job_queue.cc
+++ b/src/core/scheduling/job_queue.cc
@@ -5,7 +5,7 @@
 #include <optional>
 #include <set>
 
-#include "core/scheduling/machine_offer.h"
+#include "core/machine_offer.h"
 #include "core/scheduling/placement_constraints.h"
 
 namespace zinclead::core {
--- a/src/core/scheduling/offer_selection.cc
+++ b/src/core/scheduling/offer_selection.cc
@@ -23,7 +23,7 @@
 
 bool InCapacityBackoff(const SchedulingContext& context, const MachineOffer& offer) {
   const auto& backoffs = context.state.capacity_backoffs;
-  const auto it = backoffs.find({offer.type, offer.zone, offer.spot});
+  const auto it = backoffs.find(offer);
   return it != backoffs.end() && it->second.until > context.now;
 }
 
--- a/src/core/scheduling/placement_constraints.h
+++ b/src/core/scheduling/placement_constraints.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "core/scheduling/machine_offer.h"
+#include "core/machine_offer.h"
 #include "core/scheduling/scheduling_context.h"
 
 namespace zinclead::core {
--- a/src/core/scheduling/upcoming_capacity.h
+++ b/src/core/scheduling/upcoming_capacity.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "core/scheduling/machine_offer.h"
+#include "core/machine_offer.h"
 #include "core/scheduling/placement_constraints.h"
 #include "core/scheduling/scheduling_context.h"
 #include "core/scheduling/unschedulable_cache.h"
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -155,13 +155,13 @@
 void Elector::CommitElection(const Candidacy& candidacy) {
   const LeaderRecord record{node_, candidacy.term, candidacy.lease};
   store_->CompareAndSwap({{kLeaderKey, 0}, {kTermKey, candidacy.term_version}},
-                 {{kLeaderKey, ToJson(record), candidacy.lease},
-                  {kTermKey, wire::Json(candidacy.term), std::nullopt}},
-                 core::Importance::kLeadership,
-                 [this, candidacy](Outcome outcome, uint64_t revision,
-                                   const std::vector<std::string>& /*failed*/) {
-                   OnElectionAnswered(candidacy, outcome, revision);
-                 });
+                         {{kLeaderKey, ToJson(record), candidacy.lease},
+                          {kTermKey, wire::Json(candidacy.term), std::nullopt}},
+                         core::Importance::kLeadership,
+                         [this, candidacy](Outcome outcome, uint64_t revision,
+                                           const std::vector<std::string>& /*failed*/) {
+                           OnElectionAnswered(candidacy, outcome, revision);
+                         });
 }
 
 void Elector::OnElectionAnswered(const Candidacy& candidacy, Outcome outcome, uint64_t revision) {
--- a/src/service/cloud_poller.cc
+++ b/src/service/cloud_poller.cc
@@ -61,12 +61,13 @@
 
 void CloudPoller::PollMachineList(double now) {
   next_list_poll_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
-  cloud_->ListMachines(guard_.Wrap([this](const std::optional<std::vector<wire::ListedMachine>>& machines) {
-    if (!machines) return;
-    cluster_->WithLock(
-        [&](Cluster& cluster) { cluster.OnMachineList(*machines, net::SteadyNow()); });
-    on_change_();
-  }));
+  cloud_->ListMachines(
+      guard_.Wrap([this](const std::optional<std::vector<wire::ListedMachine>>& machines) {
+        if (!machines) return;
+        cluster_->WithLock(
+            [&](Cluster& cluster) { cluster.OnMachineList(*machines, net::SteadyNow()); });
+        on_change_();
+      }));
 }
 
 void CloudPoller::Issue(const core::CloudActions& actions) {
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -84,7 +84,8 @@
   limits.idle_timeout_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
   limits.max_body_bytes = 4 * wire::kMaxBody;
-  limits.max_persistent_connections = static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
+  limits.max_persistent_connections =
+      static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
   // Peers take a node that answers them late for unreachable.
   limits.priority = net::EventPriority::kHigh;
   return std::make_unique<net::HttpServer>(
--- a/tests/core/service_consolidation_test.cc
+++ b/tests/core/service_consolidation_test.cc
@@ -14,7 +14,8 @@
 
 // When load falls, machines with a service or two are emptied.
 TEST_F(CoreTest, ServicesAreConsolidatedWhenMachinesAreMostlyEmpty) {
-  settings_.objectives = {{"wait", "batch", settings_.lease_s, 0.9}};  // a start may take that long
+  settings_.objectives = {
+      {config::ObjectiveKind::kWait, "batch", settings_.lease_s}};  // a start may take that long
   Restart();
   std::map<std::string, std::map<std::string, wire::TaskStatus>> tasks;
   for (int i = 101; i <= 117; ++i) {
@@ -55,7 +56,7 @@
 // at hljod fleet the last half of a day cost more than a quarter of its money for half-empty
 // machines.
 TEST_F(CoreTest, MachinesAreScaledInWhenServicesEnd) {
-  settings_.objectives = {{"wait", "batch", settings_.lease_s, 0.9}};
+  settings_.objectives = {{config::ObjectiveKind::kWait, "batch", settings_.lease_s}};
   Restart();
   constexpr int kMachines = 20;
   std::map<std::string, std::map<std::string, wire::TaskStatus>> tasks;
