--- a/src/config/toml_table.cc
+++ b/src/config/toml_table.cc
@@ -74,10 +74,10 @@
 }
 
 TomlTable TomlTable::Table(const char* name) const {
-  static const toml::table kEmpty;
+  static const toml::table empty;
   const toml::table* found = (*table_)[name].as_table();
   if (found == nullptr) Fail(name, "is missing or not a table");
-  return {found == nullptr ? kEmpty : *found, path_ + name + ".", error_};
+  return {found == nullptr ? empty : *found, path_ + name + ".", error_};
 }
 
 std::vector<TomlTable> TomlTable::Tables(const char* name) const {
--- a/src/core/scheduling/job_objectives.cc
+++ b/src/core/scheduling/job_objectives.cc
@@ -29,8 +29,9 @@
   if (job.spec.deadline_s) latest.after_s = *job.spec.deadline_s - run_s;
   for (const config::Objective& objective : settings.objectives) {
     if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
-    if (objective.kind == config::ObjectiveKind::kWait)
+    if (objective.kind == config::ObjectiveKind::kWait) {
       latest.after_s = std::min(latest.after_s, objective.within_s);
+    }
     if (objective.kind == config::ObjectiveKind::kFinished) {
       latest.after_s = std::min(latest.after_s, objective.within_s - run_s);
       latest.patience_share = kFinishPatienceShare;
--- a/src/fault_injection/scenario_runner.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -179,8 +179,9 @@
   if (!write_tokens_.Take(net::SteadyNow(), writes, core::Importance::kLeadership)) {
     return FakeStore::InjectedFault::kTooMany;
   }
-  if (UnderWay(FaultKind::kStoreLoses, -1) > 0)
+  if (UnderWay(FaultKind::kStoreLoses, -1) > 0) {
     return FakeStore::InjectedFault::kExecutedUnanswered;
+  }
   return FakeStore::InjectedFault::kNormal;
 }
 
--- a/tests/admission/simulated_users.h
+++ b/tests/admission/simulated_users.h
@@ -95,8 +95,9 @@
       next_announcement_ = now_ + kAnnouncementS;
       const wire::CreditGrant grant = policy_->MakeGrant(now_);
       for (size_t i = 0; i < nodes_; ++i) {
-        if (i != leader_ && !isolated_followers.contains(i))
+        if (i != leader_ && !isolated_followers.contains(i)) {
           gates_[i]->OnLeaderAnnouncement(term_, grant, now_);
+        }
       }
     }
     if (store_available) {
--- a/tests/callback_guard_test.cc
+++ b/tests/callback_guard_test.cc
@@ -16,7 +16,7 @@
   std::string received;
   auto guard = std::make_unique<CallbackGuard>();
   const std::function<void(std::string, int)> callback =
-      guard->Wrap([&](std::string text, int count) {
+      guard->Wrap([&](const std::string& text, int count) {
         while (count-- > 0) received += text;
       });
   callback("ab", 2);
--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -21,8 +21,9 @@
   pinned_leader_.clear();
   peers_partitioned_ = false;
   store_lost_until_ = cloud_lost_until_ = 0;
-  for (auto& [id, worker] : workers_)
+  for (auto& [id, worker] : workers_) {
     worker.uplink_lost_until = worker.downlink_lost_until = worker.hung_until = now_;
+  }
   if (!Current().alive) Elect(false);
   const auto served = [&] { return AllFinished() || AllRun(); };
   EXPECT_TRUE(RunUntil(served, 16 * settings_.cancel_s)) << "left over: " << UnfinishedJobs();
@@ -176,7 +177,7 @@
   }
 }
 
-void World::InjectFaults() {
+void World::ActAsUsers() {
   if (!faults_ended_ && Rate(0.15)) Submit();
   if (!faults_ended_ && Rate(0.03) && !known_jobs_.empty()) {
     auto it = known_jobs_.begin();
@@ -193,32 +194,27 @@
       }
     }
   }
-  // Services are cancelled at the end, so that every history can finish.
-  if (now_ > kServicesAt) {
-    for (auto& [id, known] : known_jobs_) {
-      // The capped team may have asked for more at once than it is ever given.
-      if (!services_checked_ && known.accepted && !known.cancel_asked &&
-          known.spec.team == "open" && known.spec.kind == wire::JobKind::kService) {
-        EXPECT_TRUE(known.ran_after_faults) << id << " is stuck";
-      }
-    }
-    services_checked_ = true;
-    for (auto& [id, known] : known_jobs_) {
-      if (known.accepted && !known.cancelled_at && known.spec.kind == wire::JobKind::kService) {
-        AskToCancel(id);
-      }
+}
+
+// Services are cancelled at the end, so that every history can finish.
+void World::CancelServicesAtTheEnd() {
+  if (now_ <= kServicesAt) return;
+  for (auto& [id, known] : known_jobs_) {
+    // The capped team may have asked for more at once than it is ever given.
+    if (!services_checked_ && known.accepted && !known.cancel_asked && known.spec.team == "open" &&
+        known.spec.kind == wire::JobKind::kService) {
+      EXPECT_TRUE(known.ran_after_faults) << id << " is stuck";
     }
   }
-  if (faults_ended_ || !with_faults_) return;
-  if (!Current().alive) return;
-  if (Rate(0.02)) Elect(Chance(0.6));
-  if (Rate(0.002)) {
-    // All controllers are stopped.
-    for (Node& node : nodes_) node.alive = false;
-    no_controller_until_ = now_ + Uniform(0.5, 2 * settings_.lease_s);
-    if (no_controller_until_ - now_ > settings_.lease_s) ++coverage.long_times_without_controller;
-    return;
+  services_checked_ = true;
+  for (auto& [id, known] : known_jobs_) {
+    if (known.accepted && !known.cancelled_at && known.spec.kind == wire::JobKind::kService) {
+      AskToCancel(id);
+    }
   }
+}
+
+void World::InjectFailoverStorms() {
   if (Rate(0.002)) {
     ++coverage.failover_storms;
     failovers_left_in_storm_ = 10;
@@ -229,9 +225,9 @@
     // Another failover within a fraction of a second.
     if (Chance(0.3)) Elect(false);
   }
-  if (Rate(0.02)) store_lost_until_ = now_ + Uniform(1, 15);
-  if (Rate(0.02)) cloud_lost_until_ = now_ + Uniform(1, 15);
-  if (Rate(0.02)) Current().uplink_lost_until = now_ + Uniform(1, 6);
+}
+
+void World::InjectWorkerFaults() {
   for (auto& [id, worker] : workers_) {
     if (Rate(0.008)) worker.uplink_lost_until = now_ + Uniform(1, 25);
     if (Rate(0.004)) worker.downlink_lost_until = now_ + Uniform(1, 60);
@@ -262,6 +258,26 @@
   }
 }
 
+void World::InjectFaults() {
+  ActAsUsers();
+  CancelServicesAtTheEnd();
+  if (faults_ended_ || !with_faults_) return;
+  if (!Current().alive) return;
+  if (Rate(0.02)) Elect(Chance(0.6));
+  if (Rate(0.002)) {
+    // All controllers are stopped.
+    for (Node& node : nodes_) node.alive = false;
+    no_controller_until_ = now_ + Uniform(0.5, 2 * settings_.lease_s);
+    if (no_controller_until_ - now_ > settings_.lease_s) ++coverage.long_times_without_controller;
+    return;
+  }
+  InjectFailoverStorms();
+  if (Rate(0.02)) store_lost_until_ = now_ + Uniform(1, 15);
+  if (Rate(0.02)) cloud_lost_until_ = now_ + Uniform(1, 15);
+  if (Rate(0.02)) Current().uplink_lost_until = now_ + Uniform(1, 6);
+  InjectWorkerFaults();
+}
+
 bool World::AllCompleted(const wire::JobSpec& spec) const {
   for (uint32_t i = 0; i < spec.tasks; ++i) {
     if (!completed_.contains(wire::TaskName(spec.id, i))) return false;
--- a/tests/cluster_model.h
+++ b/tests/cluster_model.h
@@ -237,6 +237,11 @@
   void Elect(bool lingers);
 
   void InjectFaults();
+  // Its steps.
+  void ActAsUsers();
+  void CancelServicesAtTheEnd();
+  void InjectFailoverStorms();
+  void InjectWorkerFaults();
 
   bool AllCompleted(const wire::JobSpec& spec) const;
   // Every job that was not cancelled is done, or a service that runs in full.
--- a/tests/core/placement_test.cc
+++ b/tests/core/placement_test.cc
@@ -56,8 +56,10 @@
   for (const auto& [id, job] : cluster_->jobs()) {
     if (job->pending == 0) continue;
     for (const auto& [name, machine] : cluster_->machines()) {
-      if (machine->stage != MachineStage::kUp || !machine->acknowledged || !machine->Schedulable())
+      if (machine->stage != MachineStage::kUp || !machine->acknowledged ||
+          !machine->Schedulable()) {
         continue;
+      }
       Resources free = machine->capacity;
       free -= machine->used;
       const auto here = job->zone_counts.find(machine->zone);
--- a/tests/gang_scenarios_test.cc
+++ b/tests/gang_scenarios_test.cc
@@ -113,8 +113,9 @@
   const auto machines = world->MachinesOf(kGang);
   // Machines without an uplink lose their lease, and with it the gang: only a short end is seen in
   // part.
-  if (!world->RunUntil([&] { return world->Completed(kGang); }, world->settings().lease_s - 2))
+  if (!world->RunUntil([&] { return world->Completed(kGang); }, world->settings().lease_s - 2)) {
     return;
+  }
   world->KillMachines({machines[0]});
   world->RunFor(3);
   world->StopLeader();
