--- a/src/core/cycle_rate_limiter.h
+++ b/src/core/cycle_rate_limiter.h
@@ -1,5 +1,5 @@
-// Limits the rate of scheduling cycles, so that a slow node spends a bounded share of its time in
-// them.
+// Limits the rate of scheduling cycles, so that a slow node spends at most a fixed share of its
+// time in them.
 #ifndef ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
 #define ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
 
@@ -10,19 +10,21 @@
 
 namespace zinclead::core {
 
-// Seconds on a steady clock.
+// Returns the time of a steady clock, in seconds.
 using Clock = std::function<double()>;
 
-// Spaces whole scheduling cycles by what they take. The caller runs no cycle before next_at().
+// Spaces scheduling cycles in proportion to their duration. The caller must not run a cycle before
+// next_at(). Not thread-safe.
 class CycleRateLimiter {
  public:
-  // Without a clock cycles count as free, and only the minimum interval is kept.
+  // If `clock` is empty, the duration of cycles counts as zero and only the minimum interval
+  // applies.
   CycleRateLimiter(const config::Settings& settings,
                    const config::OperatorSettings& operator_settings, Clock clock);
 
   // Runs `cycle` and sets when the next one may run. `now` is on the steady clock, in seconds.
   void Run(double now, const std::function<void()>& cycle);
-  // The time before which no whole cycle should run, on the same clock as `now`.
+  // The earliest time for the next cycle, on the same clock as `now`.
   double next_at() const { return next_at_; }
 
  private:
--- a/src/core/gang.cc
+++ b/src/core/gang.cc
@@ -13,39 +13,39 @@
                                                                          : GangState::kPlacing;
     case GangState::kWaiting:
       if (event == GangEvent::kSeenRunning) return GangState::kRunning;
-      // The other tasks keep waiting for a replacement.
+      // The other tasks wait until the lost task is replaced.
       if (event == GangEvent::kTaskLost) return GangState::kWaiting;
       break;
     case GangState::kRunning:
-      // The peers of a lost task end by themselves.
+      // Workers end the peers of a lost task.
       if (event == GangEvent::kTaskLost) return GangState::kStopping;
       break;
     case GangState::kStopping:
     case GangState::kEnded:
       return state;
   }
-  const bool stops = event == GangEvent::kGaveUp || event == GangEvent::kStopWanted;
-  return stops ? GangState::kStopping : state;
+  const bool must_stop = event == GangEvent::kGaveUp || event == GangEvent::kStopWanted;
+  return must_stop ? GangState::kStopping : state;
 }
 
 void Gang::OnPlaced(uint64_t attempt) {
   attempt_ = attempt;
-  adopted_ = false;
+  is_adopted_ = false;
   On(GangEvent::kPlaced);
 }
 
 void Gang::OnAdopted(uint64_t attempt) {
   if (state_ == GangState::kPlacing) {
     attempt_ = attempt;
-    adopted_ = true;
+    is_adopted_ = true;
     On(GangEvent::kAdopted);
   } else if (attempt != attempt_) {
     On(GangEvent::kStopWanted);
   }
 }
 
-void Gang::OnGaveUp() {
-  if (state_ == GangState::kWaiting) ++give_ups_;
+void Gang::OnStartTimeout() {
+  if (state_ == GangState::kWaiting) ++start_timeouts_;
   On(GangEvent::kGaveUp);
 }
 
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -1,7 +1,6 @@
 // The state machine of a gang: a job whose tasks run at the same time or not at all. Workers start
-// the tasks of one attempt together when the last of them has its image, and end them all when one
-// ends. Placement, preemption, spot notices, failover and completion ask here what a gang may do
-// next.
+// the tasks of an attempt together once every task has its image, and end all of them when one
+// ends. Placement, preemption, spot notices, failover and completion report events to it.
 #ifndef ZINCLEAD_CORE_GANG_H_
 #define ZINCLEAD_CORE_GANG_H_
 
@@ -12,58 +11,61 @@
 namespace zinclead::core {
 
 enum class GangState : uint8_t {
-  kPlacing,   // no attempt is under way; all tasks may be started together
-  kWaiting,   // an attempt was started and is not known to have run
-  kRunning,   // the attempt has run: none of its tasks can be replaced any more
-  kStopping,  // the attempt has failed; nothing starts until all its tasks have left their machines
-  kEnded,     // the gang's work is done
+  kPlacing,   // the gang has no attempt; all tasks may be placed together
+  kWaiting,   // an attempt was placed; no heartbeat has shown that it has run
+  kRunning,   // the attempt has run, so a lost task can't be replaced
+  kStopping,  // the attempt has failed; no task starts until all have left their machines
+  kEnded,     // all tasks are done
 };
 
 enum class GangEvent : uint8_t {
   kPlaced,       // all tasks were placed, with one attempt number
   kAdopted,      // a heartbeat lists a task of an attempt that an earlier leader started
-  kSeenRunning,  // a heartbeat lists a task that runs, saves, or has ended because its peers did
-  kTaskLost,     // a task is not on its machine any more and is not done
+  kSeenRunning,  // a heartbeat lists a task that runs, saves, or ended because its peers ended
+  kTaskLost,     // a task is no longer on its machine and is not done
   kGaveUp,       // a task ended because the gang was not complete in time
-  kStopWanted,   // the scheduler wants the whole gang stopped
-  kCleared,      // no task of it can be on a machine any more
-  kDone,         // a task is done, and so are all
+  kStopWanted,   // the whole gang must be stopped
+  kCleared,      // no task of the gang can be on a machine
+  kDone,         // one task is done, and therefore all are
 };
 
-// The state after `event`; an event that means nothing in `state` leaves it as it is.
+// Returns the state after `event`; `state` itself if the event does not apply to it.
 GangState NextGangState(GangState state, GangEvent event);
 
+// The state of one gang and the number of its attempt. Not thread-safe.
 class Gang {
  public:
   GangState state() const { return state_; }
-  // The number that all tasks of the attempt under way share.
+  // The attempt number that all tasks of the current attempt share.
   uint64_t attempt() const { return attempt_; }
-  // A lost task may be started again with the attempt's number: the attempt is this leader's own
-  // and has not run. Of an inherited one this leader can't know which tasks it ever had.
-  bool MayReplace() const { return state_ == GangState::kWaiting && !adopted_; }
+  // Whether a lost task may be started again with the attempt's number: this leader placed the
+  // attempt, and the attempt has not run. Which tasks an earlier leader placed is not known.
+  bool MayReplace() const { return state_ == GangState::kWaiting && !is_adopted_; }
 
+  // All tasks were placed with this attempt number.
   void OnPlaced(uint64_t attempt);
-  // A task of `attempt` was found on a machine. Tasks of two attempts can never run together, so a
-  // second number stops the gang.
+  // A heartbeat lists a task of `attempt`, which an earlier leader placed. Tasks of two attempts
+  // never run together, so a second attempt number stops the gang.
   void OnAdopted(uint64_t attempt);
+  // Applies the event to the state.
   void On(GangEvent event) { state_ = NextGangState(state_, event); }
 
   // A task ended because the attempt was not complete in time.
-  void OnGaveUp();
-  // The attempts that were never complete.
-  int give_ups() const { return give_ups_; }
+  void OnStartTimeout();
+  // The number of attempts that were not complete in time.
+  int start_timeouts() const { return start_timeouts_; }
 
  private:
   GangState state_ = GangState::kPlacing;
   uint64_t attempt_ = 0;
-  bool adopted_ = false;
-  int give_ups_ = 0;
+  bool is_adopted_ = false;
+  int start_timeouts_ = 0;
 };
 
-// Whether commands in responses to heartbeats reach all tasks of a gang within `gang_peer_s` of the
-// first, so that a stop loses no progress: each machine sends a heartbeat after
-// `heartbeat_interval_s` and a quarter at the latest. Where that is too slow a gang is stopped
-// without saving.
+// Whether stop commands, which are sent in heartbeat responses, reach all tasks of a gang within
+// `gang_peer_s` of the first, so that all of them can save their progress. The longest interval
+// between two heartbeats of a machine is kMaxHeartbeatIntervalRatio times `heartbeat_interval_s`.
+// If that is too long, gangs are stopped without saving.
 bool CanStopGracefully(const config::Settings& settings);
 
 }  // namespace zinclead::core
--- a/src/core/gang_lifecycle.cc
+++ b/src/core/gang_lifecycle.cc
@@ -1,4 +1,5 @@
-// AttemptTracker's part for gangs: what the events of a gang (see core/gang.h) do to its tasks.
+// The part of AttemptTracker for gangs: applies the events of a gang (see core/gang.h) to its
+// tasks.
 
 #include <algorithm>
 #include <cmath>
@@ -8,13 +9,13 @@
 namespace zinclead::core {
 namespace {
 
-// A gang that is never complete is retried after at most this many doublings of the retry interval:
-// no job may wait 90 s beside free capacity.
-constexpr int kMaxPauseDoublings = 3;
+// Limits the backoff of a gang whose attempts are not complete in time: no job may wait 90 s while
+// there is free capacity for it.
+constexpr int kMaxBackoffDoublings = 3;
 
-// Heartbeats since a loss that must show a task waiting before the lost one is replaced: the first
-// may have been in flight when the task was lost.
-constexpr int kHeartbeatsToReplace = 2;
+// A lost task is replaced only after this many later heartbeats list each remaining task as
+// waiting. The first one may have been sent before the loss.
+constexpr int kMinWaitingHeartbeatsToReplace = 2;
 
 }  // namespace
 
@@ -38,12 +39,14 @@
 }
 
 bool AttemptTracker::CanStopAllTasks(const Job& job, double now) const {
-  const double latest_s = wire::kMaxHeartbeatIntervalRatio * state_.settings.heartbeat_interval_s;
+  const double max_heartbeat_interval_s =
+      wire::kMaxHeartbeatIntervalRatio * state_.settings.heartbeat_interval_s;
   return CanStopGracefully(state_.settings) && job.active.size() == job.spec.tasks &&
          std::all_of(job.active.begin(), job.active.end(), [&](const auto& entry) {
            const Machine& machine = *entry.second->machine;
            return machine.ReceivesCommands() &&
-                  now - machine.last_heartbeat_at <= latest_s + wire::kMinHeartbeatIntervalS;
+                  now - machine.last_heartbeat_at <=
+                      max_heartbeat_interval_s + wire::kMinHeartbeatIntervalS;
          });
 }
 
@@ -54,7 +57,8 @@
     gang.On(GangEvent::kSeenRunning);
   } else {
     ++attempt->waiting_heartbeats;
-    if (attempt->job->pending > 0 && attempt->waiting_heartbeats == kHeartbeatsToReplace) {
+    if (attempt->job->pending > 0 &&
+        attempt->waiting_heartbeats == kMinWaitingHeartbeatsToReplace) {
       state_.schedule_due = true;
     }
   }
@@ -62,13 +66,13 @@
 
 void AttemptTracker::OnGangTaskLost(Job* job, wire::EndCause cause, double now) {
   Gang& gang = *job->gang;
-  const bool attempt_under_way =
+  const bool has_attempt =
       gang.state() == GangState::kWaiting || gang.state() == GangState::kRunning;
-  if (!attempt_under_way) return;
+  if (!has_attempt) return;
   if (cause == wire::EndCause::kIncomplete) {
-    // No machine is at fault. What kept the gang from being complete may last, so it backs off.
-    gang.OnGaveUp();
-    const int doublings = std::min(gang.give_ups() - 1, kMaxPauseDoublings);
+    // No machine is at fault. The cause of the timeout may persist, so the gang is retried later.
+    gang.OnStartTimeout();
+    const int doublings = std::min(gang.start_timeouts() - 1, kMaxBackoffDoublings);
     job->not_before =
         now + state_.operator_settings.retry_s * std::pow(2.0, std::max(0, doublings));
   } else {
@@ -76,29 +80,30 @@
     gang.On(GangEvent::kTaskLost);
   }
   if (gang.state() == GangState::kStopping) {
-    // Whatever still waits or runs can't complete any more.
+    // The remaining tasks can't complete without the lost one.
     StopGang(job, false, now);
     return;
   }
   for (auto& [index, other] : job->active) other->waiting_heartbeats = 0;
 }
 
-// Everything that is left of the gang has shown since the loss that it still waits, so the gang had
-// not run while it was complete, and without the lost tasks it can't.
+// Requires heartbeats since the loss that list each remaining task as waiting. They show that the
+// gang did not run while it was complete; without the lost tasks it can't start.
 bool AttemptTracker::MayReplaceLostTasks(const Job& job) {
   return job.gang->MayReplace() && !job.active.empty() &&
          std::all_of(job.active.begin(), job.active.end(), [](const auto& entry) {
            const Attempt& attempt = *entry.second;
-           return !attempt.stop &&
-                  (!attempt.start_sent || attempt.waiting_heartbeats >= kHeartbeatsToReplace);
+           return !attempt.stop && (!attempt.start_sent ||
+                                    attempt.waiting_heartbeats >= kMinWaitingHeartbeatsToReplace);
          });
 }
 
 bool AttemptTracker::GangIsClear(Job* job) {
-  const bool clear = std::none_of(job->attempts.begin(), job->attempts.end(),
-                                  [](const Attempt* attempt) { return attempt->holds_allocation; });
-  if (clear) job->gang->On(GangEvent::kCleared);
-  return clear;
+  const bool is_clear =
+      std::none_of(job->attempts.begin(), job->attempts.end(),
+                   [](const Attempt* attempt) { return attempt->holds_allocation; });
+  if (is_clear) job->gang->On(GangEvent::kCleared);
+  return is_clear;
 }
 
 }  // namespace zinclead::core
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -21,13 +21,14 @@
 namespace zinclead::core {
 namespace {
 
-// One cycle over all pending jobs. For each job: existing machines first, then preemption, then
-// upcoming capacity, then scale-out.
+// One scheduling cycle over all pending jobs. Tries for each job existing machines, then
+// preemption, then upcoming capacity, then scale-out.
 class SchedulingCycle {
  public:
-  SchedulingCycle(ClusterState* state, RecordQueue* records, AttemptTracker* attempts, double now)
+  SchedulingCycle(ClusterState* state, RecordQueue* record_queue, AttemptTracker* attempts,
+                  double now)
       : context_(state, attempts, now),
-        autoscaler_(&context_, records),
+        autoscaler_(&context_, record_queue),
         preemptor_(&context_),
         gang_headroom_(&context_) {}
 
@@ -60,7 +61,8 @@
     }
   }
 
-  // Headroom for gangs is reserved behind the jobs of high priority, which may use all capacity.
+  // Reserves the headroom for gangs after the jobs of production and high priority, which may use
+  // all capacity.
   void PlaceQueuedJobs() {
     bool headroom_reserved = false;
     while (context_.next_job < context_.job_queue.size()) {
@@ -89,13 +91,13 @@
 
   void PlaceArrayOrService(Job* job, ZonePlan* zones) {
     const PlacementConstraints search = ConstraintsOf(*job);
-    const bool known_unschedulable = no_free_capacity_.Contains(search);
-    if (!known_unschedulable) PlaceOnBestCandidates(&context_, job, *zones);
+    const bool is_unschedulable = failed_placements_.Contains(search);
+    if (!is_unschedulable) PlaceOnBestCandidates(&context_, job, *zones);
     if (job->pending == 0 || !context_.quotas.WithinQuotaLimit(*job)) return;
-    if (!known_unschedulable && HasOnlyStaticConstraints(*job)) no_free_capacity_.Add(search);
-    uint32_t left = job->pending;
-    if (MayPreempt(*job)) left = preemptor_.FreeCapacity(*job, left, zones);
-    autoscaler_.RequestCapacity(*job, left, zones);
+    if (!is_unschedulable && HasOnlyStaticConstraints(*job)) failed_placements_.Add(search);
+    uint32_t unplaced_tasks = job->pending;
+    if (MayPreempt(*job)) unplaced_tasks = preemptor_.PreemptForJob(*job, unplaced_tasks, zones);
+    autoscaler_.RequestCapacity(*job, unplaced_tasks, zones);
   }
 
   bool MayPreempt(const Job& job) const {
@@ -107,7 +109,7 @@
   Autoscaler autoscaler_;
   Preemptor preemptor_;
   GangHeadroom gang_headroom_;
-  UnschedulableCache no_free_capacity_;
+  UnschedulableCache failed_placements_;
 };
 
 }  // namespace
@@ -117,8 +119,8 @@
   state_.retry_at = now + state_.operator_settings.retry_s +
                     std::uniform_real_distribution<double>(
                         0, state_.operator_settings.retry_jitter_s)(state_.random);
-  state_.cycle_rate_limiter.Run(now,
-                                [&] { SchedulingCycle(&state_, &queue_, &attempts_, now).Run(); });
+  state_.cycle_rate_limiter.Run(
+      now, [&] { SchedulingCycle(&state_, &record_queue_, &attempts_, now).Run(); });
 }
 
 void Scheduler::BackfillMachine(Machine* machine, double now) {
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,4 +1,4 @@
-// The scheduler: places pending tasks, preempts, and requests machines.
+// The scheduler: places pending tasks, preempts running ones, and requests machines.
 #ifndef ZINCLEAD_CORE_SCHEDULER_H_
 #define ZINCLEAD_CORE_SCHEDULER_H_
 
@@ -8,25 +8,25 @@
 
 namespace zinclead::core {
 
-// Decides on the cluster's state, which it changes through the attempt tracker. The deciders are in
-// core/scheduling. Times are on the steady clock, in seconds. Does not own what it is given, which
-// must outlive it.
+// Runs the scheduling steps of core/scheduling on the cluster state. Attempts are changed through
+// the attempt tracker only. Times are on the steady clock, in seconds. Does not own its arguments,
+// which must outlive it. Not thread-safe.
 class Scheduler {
  public:
-  Scheduler(ClusterState* state, RecordQueue* queue, AttemptTracker* attempts)
-      : state_(*state), queue_(*queue), attempts_(*attempts) {}
+  Scheduler(ClusterState* state, RecordQueue* record_queue, AttemptTracker* attempts)
+      : state_(*state), record_queue_(*record_queue), attempts_(*attempts) {}
 
-  // Looks for capacity for all pending tasks, and sets when the next cycle is due.
+  // Tries to place all pending tasks, and sets when the next cycle is due.
   void RunSchedulingCycle(double now);
-  // Places pending tasks on one machine on which capacity was freed. Requires that it is usable.
+  // Places pending tasks on one machine on which capacity was freed. Requires Machine::Usable.
   void BackfillMachine(Machine* machine, double now);
-  // Moves services to the machine that wait for another machine's next heartbeat. Requires that it
-  // is usable.
+  // Moves services whose start was not sent yet from other machines to this one. Requires
+  // Machine::Usable.
   void StealUnsentServices(Machine* machine, double now);
 
  private:
   ClusterState& state_;
-  RecordQueue& queue_;
+  RecordQueue& record_queue_;
   AttemptTracker& attempts_;
 };
 
--- a/src/core/scheduling/autoscaler.cc
+++ b/src/core/scheduling/autoscaler.cc
@@ -12,8 +12,8 @@
 namespace zinclead::core {
 namespace {
 
-// Whether tasks of both jobs can run on the same machines. How long they may wait for spot machines
-// is not compared.
+// Whether tasks of both jobs can run on the same machines. The time for which the jobs may wait for
+// spot machines is not compared.
 bool HaveSameRequirements(const Job& job, const Job& other) {
   return other.spec.kind == job.spec.kind && other.spec.priority == job.spec.priority &&
          other.spec.cpus == job.spec.cpus && other.spec.gpus == job.spec.gpus &&
@@ -25,30 +25,30 @@
 }  // namespace
 
 void Autoscaler::RequestCapacity(const Job& job, uint32_t tasks, ZonePlan* zones) {
-  const uint32_t left = upcoming_.Claim(job, tasks, zones);
-  if (left > 0) ScaleOut(job, left, zones);
+  const uint32_t missing_tasks = upcoming_capacity_.Claim(job, tasks, zones);
+  if (missing_tasks > 0) ScaleOut(job, missing_tasks, zones);
 }
 
 void Autoscaler::ScaleOut(const Job& job, uint32_t tasks, ZonePlan* zones) {
-  if (rate_exhausted_) return;
+  if (is_rate_exhausted_) return;
   PlacementConstraints search = ConstraintsOf(job);
   search.waits_for_spot = CanWaitForSpot(context_.state, job, context_.now);
-  const auto waits_alike = [&](const PlacementConstraints& failed) {
+  const auto has_same_spot_wait = [&](const PlacementConstraints& failed) {
     return failed.waits_for_spot == search.waits_for_spot;
   };
-  if (without_offer_.Contains(search, waits_alike)) return;
+  if (failed_offer_searches_.Contains(search, has_same_spot_wait)) return;
   const uint32_t similar_tasks = CountSimilarTasksBehind(job);
   while (tasks > 0) {
     const std::vector<OfferEstimate> offers =
         ListOffers(context_, job, tasks, similar_tasks, *zones);
     const OfferEstimate* estimate = ChooseOffer(context_, job, offers);
-    if (estimate == nullptr || estimate->fit == 0) {
-      if (HasOnlyStaticConstraints(job)) without_offer_.Add(search);
+    if (estimate == nullptr || estimate->tasks_per_machine == 0) {
+      if (HasOnlyStaticConstraints(job)) failed_offer_searches_.Add(search);
       return;
     }
     if (!TakeRequestToken()) return;
-    AddScaleOut(job, *estimate, std::min(tasks, estimate->tasks) + similar_tasks);
-    tasks = upcoming_.Claim(job, tasks, zones);
+    AddScaleOut(job, *estimate, std::min(tasks, estimate->allowed_tasks) + similar_tasks);
+    tasks = upcoming_capacity_.Claim(job, tasks, zones);
   }
 }
 
@@ -72,13 +72,13 @@
   if (state.scale_out_rate_limiter.Take(context_.now, 1, Importance::kNormal)) return true;
   const double wait_s = state.scale_out_rate_limiter.Wait(context_.now, 1, Importance::kNormal);
   state.retry_at = std::min(state.retry_at, context_.now + wait_s);
-  rate_exhausted_ = true;
+  is_rate_exhausted_ = true;
   return false;
 }
 
 void Autoscaler::AddScaleOut(const Job& job, const OfferEstimate& estimate, uint32_t tasks) {
   ClusterState& state = context_.state;
-  const uint32_t machines = (tasks + estimate.fit - 1) / estimate.fit;
+  const uint32_t machines = (tasks + estimate.tasks_per_machine - 1) / estimate.tasks_per_machine;
   auto scale_out = std::make_unique<ScaleOutRecord>();
   scale_out->name = "r" + std::to_string(state.term) + "-" + std::to_string(state.next_scale_out++);
   scale_out->type = estimate.offer.type;
@@ -86,11 +86,12 @@
   scale_out->spot = estimate.offer.spot;
   scale_out->count = static_cast<int>(std::min<uint32_t>(machines, wire::kMaxScaleOutCount));
   scale_out->requested_at = context_.now;
-  // Named durably before the request: the next leader can ask for its machines again.
-  records_.Enqueue(
+  // The record is stored before the request is sent, so that a new leader can repeat the request
+  // under the same name and learn its machines.
+  record_queue_.Enqueue(
       std::string(kMachinePrefix) + scale_out->name,
       job.spec.priority <= wire::Priority::kHigh ? Importance::kUser : Importance::kNormal);
-  upcoming_.Add(*estimate.type, estimate.offer, scale_out->count);
+  upcoming_capacity_.AddRequested(*estimate.type, estimate.offer, scale_out->count);
   state.scale_outs[scale_out->name] = std::move(scale_out);
 }
 
--- a/src/core/scheduling/autoscaler.h
+++ b/src/core/scheduling/autoscaler.h
@@ -1,4 +1,5 @@
-// Requests machines from the cloud for tasks that no existing or upcoming machine can take.
+// Scales out: requests machines from the cloud for tasks that neither existing nor upcoming
+// machines have capacity for.
 #ifndef ZINCLEAD_CORE_SCHEDULING_AUTOSCALER_H_
 #define ZINCLEAD_CORE_SCHEDULING_AUTOSCALER_H_
 
@@ -12,33 +13,37 @@
 
 namespace zinclead::core {
 
-// Lives for one scheduling cycle. Adds scale-out records to the state; the requests are sent once
-// those are stored.
+// Lives for one scheduling cycle. Adds scale-out records to the cluster state. A request is sent to
+// the cloud only after its record is stored.
 class Autoscaler {
  public:
-  Autoscaler(SchedulingContext* context, RecordQueue* records)
-      : context_(*context), records_(*records), upcoming_(context) {}
+  Autoscaler(SchedulingContext* context, RecordQueue* record_queue)
+      : context_(*context), record_queue_(*record_queue), upcoming_capacity_(context) {}
 
-  // Provides for `tasks` tasks of the job: claims upcoming capacity, and requests machines for the
-  // tasks that it can't take, as far as offers and the rate limit allow. What it finds is added to
-  // the plan.
+  // Claims upcoming capacity for `tasks` tasks of the job, and requests machines for the remaining
+  // tasks as far as offers and the rate limit allow. Adds the tasks that will have capacity to
+  // `zones`.
   void RequestCapacity(const Job& job, uint32_t tasks, ZonePlan* zones);
 
  private:
+  // Requests machines for `tasks` tasks of the job and for similar tasks of jobs behind it.
   void ScaleOut(const Job& job, uint32_t tasks, ZonePlan* zones);
-  // The pending tasks of the jobs behind this one in the queue that are like its own: where it
-  // found no capacity they won't either. Machines are requested for them together, in few requests
-  // and of the right size.
+  // Counts the pending tasks of the jobs behind this one in the queue that have the same
+  // requirements. These jobs will not find free capacity either, so their machines are requested
+  // together with the job's: in fewer requests, and of a size that suits all tasks.
   uint32_t CountSimilarTasksBehind(const Job& job) const;
-  // Takes a token for one request. Without one, no more machines are requested in this cycle.
+  // Takes a rate limiter token for one scale-out request. If there is none, returns false, stops
+  // further requests in this cycle, and schedules a retry for when there will be one.
   bool TakeRequestToken();
+  // Adds the record of a request for enough machines for `tasks` tasks, within the cloud's limit
+  // on one request.
   void AddScaleOut(const Job& job, const OfferEstimate& estimate, uint32_t tasks);
 
   SchedulingContext& context_;
-  RecordQueue& records_;
-  UpcomingCapacity upcoming_;
-  UnschedulableCache without_offer_;
-  bool rate_exhausted_ = false;
+  RecordQueue& record_queue_;
+  UpcomingCapacity upcoming_capacity_;
+  UnschedulableCache failed_offer_searches_;
+  bool is_rate_exhausted_ = false;
 };
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/backfill.cc
+++ b/src/core/scheduling/backfill.cc
@@ -15,7 +15,7 @@
   for (Job* job : context->job_queue) {
     if (!context->smallest_request.Fits(AvailableOn(context->state, *machine))) return;
     if (!job->considered || job->gang) continue;
-    // The choice of a zone needs a view of all machines.
+    // Choosing a zone requires all machines.
     if (job->spec.one_zone && job->zone_counts.empty()) continue;
     PlaceOnCandidates(context, job, ZonePlan{});
   }
--- a/src/core/scheduling/backfill.h
+++ b/src/core/scheduling/backfill.h
@@ -1,4 +1,4 @@
-// Fills one machine between whole scheduling cycles.
+// Places pending tasks on one machine between two scheduling cycles.
 #ifndef ZINCLEAD_CORE_SCHEDULING_BACKFILL_H_
 #define ZINCLEAD_CORE_SCHEDULING_BACKFILL_H_
 
@@ -6,8 +6,9 @@
 
 namespace zinclead::core {
 
-// Places pending tasks on a machine on which capacity was freed since the last whole cycle: of the
-// jobs that such a cycle has considered, in the order of the queue. Gangs are left to whole cycles.
+// Places pending tasks on a machine on which capacity was freed since the last scheduling cycle.
+// Takes the jobs that a cycle has considered before, in the order of the queue. Gangs, and one-zone
+// jobs without a zone, are placed by scheduling cycles only.
 void BackfillMachine(SchedulingContext* context, Machine* machine);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/free_capacity.h
+++ b/src/core/scheduling/free_capacity.h
@@ -1,4 +1,5 @@
-// Free capacity of machines as placement sees it: what is unused less what is reserved for gangs.
+// Computes the capacity of machines that placement may use: unused capacity less reservations for
+// gangs.
 #ifndef ZINCLEAD_CORE_SCHEDULING_FREE_CAPACITY_H_
 #define ZINCLEAD_CORE_SCHEDULING_FREE_CAPACITY_H_
 
@@ -8,17 +9,17 @@
 
 namespace zinclead::core {
 
-// Sums of decimal amounts are compared with this slack, as in Resources::Fits.
+// Tolerance for rounding errors in sums of resource amounts, as in Resources::Fits.
 inline constexpr double kResourceSlack = 1e-6;
 
-// More tasks than this on one machine are never counted.
+// Limit on the tasks counted for one machine.
 inline constexpr uint32_t kMaxFitCount = 1000;
 
-// kGeneral leaves out the headroom that is kept for forecast gangs, kForGangs includes it. Neither
-// includes what is reserved for starved gangs.
+// kGeneral excludes the headroom for expected gangs, kForGangs includes it. Both exclude the
+// reservations for starved gangs.
 enum class CapacityView : uint8_t { kGeneral, kForGangs };
 
-// The capacity of the machine that new tasks may use.
+// Returns the capacity of the machine that new tasks may use.
 inline Resources AvailableOn(const ClusterState& state, const Machine& machine,
                              CapacityView view = CapacityView::kGeneral) {
   Resources free = machine.capacity;
@@ -34,10 +35,10 @@
   return free;
 }
 
-// How many tasks with this request fit into `free`, `limit` at most.
+// Returns how many tasks with this request fit into `free`, at most `limit`.
 uint32_t FitCount(const Resources& request, const Resources& free, uint32_t limit);
 
-// What arrays of lower priority than `priority` use of the machine.
+// Returns the resources of the machine that arrays of lower priority than `priority` use.
 Resources LowerPriorityArrayUse(const Machine& machine, wire::Priority priority);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/gang_headroom.cc
+++ b/src/core/scheduling/gang_headroom.cc
@@ -13,19 +13,19 @@
 
 void GangHeadroom::ForecastDemand() {
   ClusterState& state = context_.state;
-  const double window_s = kHeadroomWindowBoots * SlowestBoot(state);
-  for (const auto& [name, recent] : state.gang_arrivals.Recent(context_.now, window_s)) {
-    Job probe;
-    probe.spec = recent.latest;
-    probe.request = RequestOf(recent.latest);
-    const double ready_s = FastestReadyTime(state, probe) * kHeadroomBoots;
-    if (WaitObjective(state.settings, probe) == nullptr ||
-        StartWithin(state.settings, probe) > ready_s) {
+  const double window_s = kArrivalWindowBootTimes * MaxBootTime(state);
+  for (const auto& [name, recent] : state.gang_arrivals.SummarizeRecent(context_.now, window_s)) {
+    Job typical_gang;
+    typical_gang.spec = recent.latest_spec;
+    typical_gang.request = RequestOf(recent.latest_spec);
+    const double ready_s = FastestReadyTime(state, typical_gang) * kHeadroomBootTimes;
+    if (WaitObjective(state.settings, typical_gang) == nullptr ||
+        StartLimit(state.settings, typical_gang) > ready_s) {
       continue;
     }
-    const double arriving = recent.tasks / window_s * ready_s;
-    const auto tasks = std::max(recent.largest, static_cast<uint32_t>(std::ceil(arriving)));
-    forecasts_.push_back({std::move(probe), tasks, std::nullopt});
+    const double expected_tasks = recent.tasks / window_s * ready_s;
+    const auto tasks = std::max(recent.max_tasks, static_cast<uint32_t>(std::ceil(expected_tasks)));
+    forecasts_.push_back({std::move(typical_gang), tasks, std::nullopt});
   }
 }
 
@@ -34,27 +34,30 @@
 }
 
 void GangHeadroom::ReserveFor(Forecast* forecast) {
-  const Job& probe = forecast->probe;
-  forecast->zone = ChooseZone(context_, probe, forecast->missing, CapacityView::kForGangs);
+  const Job& typical_gang = forecast->typical_gang;
+  forecast->zone =
+      ChooseZone(context_, typical_gang, forecast->missing_tasks, CapacityView::kForGangs);
   if (!forecast->zone) return;
   for (const Machine* machine : context_.candidates) {
-    if (forecast->missing == 0) break;
-    if (machine->zone != *forecast->zone || !MachineSuits(context_, probe, *machine)) continue;
+    if (forecast->missing_tasks == 0) break;
+    if (machine->zone != *forecast->zone || !MachineSuits(context_, typical_gang, *machine)) {
+      continue;
+    }
     const Resources free = AvailableOn(context_.state, *machine);
-    const uint32_t fit = FitCount(probe.request, free, forecast->missing);
-    // Added one by one: a product would round differently from the requests of placed tasks.
+    const uint32_t fit = FitCount(typical_gang.request, free, forecast->missing_tasks);
+    // Added one by one, to round as the sum of the placed tasks' requests does.
     for (uint32_t i = 0; i < fit; ++i) {
-      context_.state.gang_headroom[machine->id] += probe.request;
+      context_.state.gang_headroom[machine->id] += typical_gang.request;
     }
-    forecast->missing -= fit;
+    forecast->missing_tasks -= fit;
   }
 }
 
 void GangHeadroom::RequestMissing(Autoscaler* autoscaler) {
   for (const Forecast& forecast : forecasts_) {
-    if (forecast.missing == 0) continue;
+    if (forecast.missing_tasks == 0) continue;
     ZonePlan zones{forecast.zone, {}};
-    autoscaler->RequestCapacity(forecast.probe, forecast.missing, &zones);
+    autoscaler->RequestCapacity(forecast.typical_gang, forecast.missing_tasks, &zones);
   }
 }
 
--- a/src/core/scheduling/gang_headroom.h
+++ b/src/core/scheduling/gang_headroom.h
@@ -1,4 +1,4 @@
-// Headroom for gangs that should start before a machine could boot.
+// Reserves headroom for gangs that should start faster than a machine boots.
 #ifndef ZINCLEAD_CORE_SCHEDULING_GANG_HEADROOM_H_
 #define ZINCLEAD_CORE_SCHEDULING_GANG_HEADROOM_H_
 
@@ -12,26 +12,28 @@
 
 namespace zinclead::core {
 
-// Lives for one scheduling cycle, in which its steps are called in the order of their declaration.
+// Lives for one scheduling cycle. Its public functions are called once each, in the order of their
+// declaration.
 class GangHeadroom {
  public:
   explicit GangHeadroom(SchedulingContext* context) : context_(*context) {}
 
-  // Estimates, from the gangs that came lately, how many tasks will come while a machine boots.
-  // Gangs whose objectives leave time for a boot need no headroom.
+  // Estimates from the recently accepted gangs how many gang tasks will arrive while a machine
+  // boots. Job classes whose wait-time objective leaves time for a boot need no headroom.
   void ForecastDemand();
-  // Keeps capacity in one zone free for the forecast gangs (ClusterState::gang_headroom): arrays
-  // would use all that gangs leave, and the next gang would have to wait for machines to boot.
+  // Reserves capacity for the expected gangs of each class, in one zone (sets
+  // ClusterState::gang_headroom). Otherwise arrays would use all free capacity, and the next gang
+  // would wait for machines to boot.
   void Reserve();
-  // Requests capacity for what could not be reserved.
+  // Requests capacity for the expected tasks for which none could be reserved.
   void RequestMissing(Autoscaler* autoscaler);
 
  private:
   // The expected gangs of one job class.
   struct Forecast {
-    Job probe;             // a gang like the class's latest
-    uint32_t missing = 0;  // tasks for which no capacity is reserved
-    std::optional<std::string> zone;
+    Job typical_gang;                 // has the requirements of the class's latest gang
+    uint32_t missing_tasks = 0;       // expected tasks for which no capacity is reserved
+    std::optional<std::string> zone;  // of the reservation; nullopt if no task fits anywhere
   };
 
   void ReserveFor(Forecast* forecast);
--- a/src/core/scheduling/gang_placement.h
+++ b/src/core/scheduling/gang_placement.h
@@ -1,4 +1,4 @@
-// Places gangs: all tasks of one at once, or none.
+// Places gangs: all tasks of a gang at once, or none of them.
 #ifndef ZINCLEAD_CORE_SCHEDULING_GANG_PLACEMENT_H_
 #define ZINCLEAD_CORE_SCHEDULING_GANG_PLACEMENT_H_
 
@@ -8,10 +8,10 @@
 
 namespace zinclead::core {
 
-// Places all pending tasks of the gang if all of them fit, otherwise requests capacity for the rest
-// and, for a starved gang, reserves the capacity that there is. Tasks that were lost before the
-// gang has run are replaced; otherwise it starts anew, once none of its tasks is on any machine.
-// Requires that job->gang is set.
+// Places all pending tasks of the gang if all of them fit. Otherwise requests capacity for the
+// tasks that do not fit and, if the gang is starved, reserves the free capacity for the others.
+// Tasks that were lost before the gang has run are replaced. Otherwise the gang starts a new
+// attempt once none of its tasks is on any machine. Requires that job->gang is set.
 void PlaceGang(SchedulingContext* context, Autoscaler* autoscaler, Job* job, ZonePlan* zones);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/headroom_forecast.h
+++ b/src/core/scheduling/headroom_forecast.h
@@ -1,13 +1,13 @@
-// Constants of the forecasts that services' and gangs' headroom share.
+// Constants that the headroom forecasts for services and gangs share.
 #ifndef ZINCLEAD_CORE_SCHEDULING_HEADROOM_FORECAST_H_
 #define ZINCLEAD_CORE_SCHEDULING_HEADROOM_FORECAST_H_
 
 namespace zinclead::core {
 
-// Headroom covers what arrives in this many boots, slow ones included.
-inline constexpr double kHeadroomBoots = 1.2;
-// Arrivals are counted over this many boots of the slowest machine type.
-inline constexpr double kHeadroomWindowBoots = 3;
+// Headroom covers the arrivals of this many boot times, so that slow boots are included.
+inline constexpr double kHeadroomBootTimes = 1.2;
+// Arrivals are counted over this many boot times of the slowest machine type.
+inline constexpr double kArrivalWindowBootTimes = 3;
 
 }  // namespace zinclead::core
 
--- a/src/core/scheduling/job_objectives.cc
+++ b/src/core/scheduling/job_objectives.cc
@@ -6,35 +6,34 @@
 namespace zinclead::core {
 namespace {
 
-// Of the time that an array's objectives leave it before it must have a machine, the share that it
-// waits for capacity on spot machines and on those that exist; estimates are often wrong by half.
-// With an objective for the time to finish the share is smaller: what is left is rarely known that
-// well.
-constexpr double kPatienceShare = 0.7;
-constexpr double kFinishPatienceShare = 0.35;
-constexpr double kEstimateSlack = 1.5;
+// An array waits for spot machines and existing capacity for at most this share of the time that
+// remains before a machine must be requested. The share is smaller with an objective for the finish
+// time, which depends on an estimated run time.
+constexpr double kMaxSpotWaitShare = 0.7;
+constexpr double kMaxSpotWaitShareWithFinishObjective = 0.35;
+// Run times are planned as this many times their estimates, which are often too low.
+constexpr double kRunTimeFactor = 1.5;
 
-constexpr double kNever = std::numeric_limits<double>::max();
+constexpr double kNoLimit = std::numeric_limits<double>::max();
 
-// When an array must start to meet its objectives, in seconds after its acceptance, and the share
-// of that time that it may wait.
+// The latest start time at which an array meets its objectives and deadline.
 struct LatestStart {
-  double after_s = kNever;
-  double patience_share = kPatienceShare;
+  double within_s = kNoLimit;  // after the job's acceptance
+  double max_spot_wait_share = kMaxSpotWaitShare;
 };
 
 LatestStart LatestStartOf(const config::Settings& settings, const Job& job) {
   LatestStart latest;
-  const double run_s = kEstimateSlack * job.spec.estimate_s;
-  if (job.spec.deadline_s) latest.after_s = *job.spec.deadline_s - run_s;
+  const double run_s = kRunTimeFactor * job.spec.estimate_s;
+  if (job.spec.deadline_s) latest.within_s = *job.spec.deadline_s - run_s;
   for (const config::Objective& objective : settings.objectives) {
     if (objective.job_class != job.spec.job_class || objective.within_s <= 0) continue;
     if (objective.kind == config::ObjectiveKind::kWait) {
-      latest.after_s = std::min(latest.after_s, objective.within_s);
+      latest.within_s = std::min(latest.within_s, objective.within_s);
     }
     if (objective.kind == config::ObjectiveKind::kFinished) {
-      latest.after_s = std::min(latest.after_s, objective.within_s - run_s);
-      latest.patience_share = kFinishPatienceShare;
+      latest.within_s = std::min(latest.within_s, objective.within_s - run_s);
+      latest.max_spot_wait_share = kMaxSpotWaitShareWithFinishObjective;
     }
   }
   return latest;
@@ -52,7 +51,7 @@
   return it == objectives.end() ? nullptr : &*it;
 }
 
-double StartWithin(const config::Settings& settings, const Job& job) {
+double StartLimit(const config::Settings& settings, const Job& job) {
   const config::Objective* objective = WaitObjective(settings, job);
   return objective == nullptr ? settings.heartbeat_interval_s : objective->within_s;
 }
@@ -75,9 +74,9 @@
   const double ready_s = FastestReadyTime(state, job);
   const LatestStart latest = LatestStartOf(state.settings, job);
   const double age_s = now - job.accepted_at;
-  // Without any objective it waits for cheap capacity until it counts as starved.
-  if (latest.after_s == kNever) return age_s < state.operator_settings.starvation_limit_s;
-  return age_s < latest.patience_share * (latest.after_s - ready_s);
+  // A job without objective or deadline waits for spot machines until it is starved.
+  if (latest.within_s == kNoLimit) return age_s < state.operator_settings.starvation_limit_s;
+  return age_s < latest.max_spot_wait_share * (latest.within_s - ready_s);
 }
 
 double ReadyTime(const Job& job, const wire::MachineType& type) {
@@ -85,14 +84,14 @@
 }
 
 double FastestReadyTime(const ClusterState& state, const Job& job) {
-  double ready_s = kNever;
+  double ready_s = kNoLimit;
   for (const auto& [name, type] : state.types) {
     if (FitsType(job.spec, type)) ready_s = std::min(ready_s, ReadyTime(job, type));
   }
   return ready_s;
 }
 
-double SlowestBoot(const ClusterState& state) {
+double MaxBootTime(const ClusterState& state) {
   double boot_s = 0;
   for (const auto& [name, type] : state.types) boot_s = std::max(boot_s, type.boot_s);
   return boot_s;
--- a/src/core/scheduling/job_queue.cc
+++ b/src/core/scheduling/job_queue.cc
@@ -11,15 +11,16 @@
 namespace zinclead::core {
 namespace {
 
-// While a failover is in progress: finds the jobs of which an earlier leader may have placed tasks
-// that this one has not heard of.
+// Finds, during a failover, the jobs whose tasks an earlier leader may have placed on machines that
+// have not reported to this leader yet. Placing those tasks again could exceed a quota limit or run
+// a task twice.
 class UnreconciledJobs {
  public:
   UnreconciledJobs(const ClusterState& state, const TeamQuotas& quotas)
       : state_(state), quotas_(quotas) {}
 
-  // Whether tasks of the job, or of its team if that has a quota limit, may be on a machine that
-  // has not acknowledged the term. Nothing is on machines that the job may not use.
+  // Whether tasks of the job, or of its team if the team has a quota limit, may be on a machine
+  // that has not acknowledged the term. Machines that the job may not use hold none of its tasks.
   bool MayHaveUnreconciledCopies(const Job& job) {
     if (quotas_.HasQuotaLimit(job)) return true;
     if (!job.inherited) return false;
@@ -30,7 +31,7 @@
   }
 
  private:
-  // The offers of the machines that have not acknowledged the term. Collected at first use.
+  // Returns the offers of the machines that may hold unreconciled tasks, collected at first use.
   const std::set<MachineOffer>& UnreconciledOffers() {
     if (!offers_) {
       offers_.emplace();
@@ -48,16 +49,16 @@
   std::optional<std::set<MachineOffer>> offers_;
 };
 
-// Strict priority would let a stream of more important jobs keep a job from ever starting: a
-// starved job goes ahead of all but production.
-int Rank(const ClusterState& state, const Job& job, double now) {
+// The job's rank by priority, 0 first. A starved job ranks directly behind production, so that a
+// stream of jobs of higher priority can't keep it from starting.
+int QueueRank(const ClusterState& state, const Job& job, double now) {
   const int rank = 2 * static_cast<int>(job.spec.priority);
-  return Starved(state, job, now) ? std::min(rank, 1) : rank;
+  return IsStarved(state, job, now) ? std::min(rank, 1) : rank;
 }
 
 }  // namespace
 
-bool Starved(const ClusterState& state, const Job& job, double now) {
+bool IsStarved(const ClusterState& state, const Job& job, double now) {
   return !job.started && job.done == 0 &&
          now - job.accepted_at >= state.operator_settings.starvation_limit_s;
 }
@@ -71,25 +72,25 @@
     jobs.push_back(job);
   }
   const double deadline_s = state.operator_settings.deadline_s;
-  // Active jobs are in the order of their acceptance, and the sort is stable: oldest first within
-  // a rank. A job past its dispatch deadline has lost that privilege.
+  // Active jobs are in the order of their acceptance and the sort is stable, so within a rank the
+  // oldest job is first. Jobs past their dispatch deadline are last in their rank.
   std::stable_sort(jobs.begin(), jobs.end(), [&](const Job* first, const Job* second) {
-    const bool first_guaranteed = quotas.WithinGuaranteedQuota(*first);
-    const bool second_guaranteed = quotas.WithinGuaranteedQuota(*second);
-    if (first_guaranteed != second_guaranteed) return first_guaranteed;
-    const int first_rank = Rank(state, *first, now);
-    const int second_rank = Rank(state, *second, now);
+    const bool is_first_guaranteed = quotas.WithinGuaranteedQuota(*first);
+    const bool is_second_guaranteed = quotas.WithinGuaranteedQuota(*second);
+    if (is_first_guaranteed != is_second_guaranteed) return is_first_guaranteed;
+    const int first_rank = QueueRank(state, *first, now);
+    const int second_rank = QueueRank(state, *second, now);
     if (first_rank != second_rank) return first_rank < second_rank;
-    const bool first_late = now - first->accepted_at > deadline_s;
-    const bool second_late = now - second->accepted_at > deadline_s;
-    return first_late < second_late;
+    const bool is_first_late = now - first->accepted_at > deadline_s;
+    const bool is_second_late = now - second->accepted_at > deadline_s;
+    return is_first_late < is_second_late;
   });
   return jobs;
 }
 
 Resources SmallestRequest(const std::vector<Job*>& jobs) {
-  constexpr double kMost = std::numeric_limits<double>::max();
-  Resources smallest = {kMost, kMost, kMost};
+  constexpr double kMax = std::numeric_limits<double>::max();
+  Resources smallest = {kMax, kMax, kMax};
   for (const Job* job : jobs) {
     smallest.cpus = std::min(smallest.cpus, job->request.cpus);
     smallest.gpus = std::min(smallest.gpus, job->request.gpus);
--- a/src/core/scheduling/job_queue.h
+++ b/src/core/scheduling/job_queue.h
@@ -1,4 +1,4 @@
-// The order in which pending jobs are placed.
+// Builds the queue of jobs with pending tasks, in the order in which they are placed.
 #ifndef ZINCLEAD_CORE_SCHEDULING_JOB_QUEUE_H_
 #define ZINCLEAD_CORE_SCHEDULING_JOB_QUEUE_H_
 
@@ -9,14 +9,16 @@
 
 namespace zinclead::core {
 
-// Whether the job is starved: nothing of it has started for the operators' starvation limit.
-bool Starved(const ClusterState& state, const Job& job, double now);
+// Whether no task of the job has started within the operators' starvation limit.
+bool IsStarved(const ClusterState& state, const Job& job, double now);
 
-// The jobs that have tasks to place: those of teams within their guarantee first, then by priority,
-// then the oldest first. Requires that `quotas` knows the teams within their guarantee.
+// Returns the jobs that have tasks to place: jobs of teams within their guaranteed quota first,
+// then by priority, then the oldest first. Until reconciliation has ended, jobs whose tasks may be
+// on machines without this leader's knowledge are left out. Requires that
+// TeamQuotas::FindTeamsWithinGuarantee was called.
 std::vector<Job*> BuildJobQueue(const ClusterState& state, const TeamQuotas& quotas, double now);
 
-// Of each resource, the least that a task of any of the jobs requests.
+// Returns, for each resource, the smallest amount that a task of any of the jobs requests.
 Resources SmallestRequest(const std::vector<Job*>& jobs);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/placement_constraints.cc
+++ b/src/core/scheduling/placement_constraints.cc
@@ -5,15 +5,16 @@
 namespace zinclead::core {
 namespace {
 
-// Retry intervals for which a job that failed on a machine is not placed there again.
-constexpr double kFaultRetries = 12;
+// A job that failed on a machine is not placed there for this many retry intervals.
+constexpr double kFailureBackoffRetryIntervals = 12;
 
-bool InOneZone(const Job& job, const std::string& zone, const ZonePlan& plan) {
+// Whether all tasks of the job, placed and planned, are in this zone.
+bool IsInOneZone(const Job& job, const std::string& zone, const ZonePlan& plan) {
   if (plan.chosen_zone) return *plan.chosen_zone == zone;
   for (const auto& [other, count] : job.zone_counts) {
     if (other != zone) return false;
   }
-  for (const auto& [other, count] : plan.planned) {
+  for (const auto& [other, count] : plan.planned_tasks) {
     if (other != zone) return false;
   }
   return true;
@@ -32,7 +33,7 @@
 
 bool ZoneAllowed(const Job& job, const std::string& zone, const ZonePlan& plan) {
   if (job.spec.zone && *job.spec.zone != zone) return false;
-  if (job.spec.one_zone && !InOneZone(job, zone, plan)) return false;
+  if (job.spec.one_zone && !IsInOneZone(job, zone, plan)) return false;
   return !job.spec.spread || SpreadCapacity(job, zone, plan) >= 1;
 }
 
@@ -41,7 +42,9 @@
   if (const auto it = job.zone_counts.find(zone); it != job.zone_counts.end()) {
     capacity -= it->second;
   }
-  if (const auto it = plan.planned.find(zone); it != plan.planned.end()) capacity -= it->second;
+  if (const auto it = plan.planned_tasks.find(zone); it != plan.planned_tasks.end()) {
+    capacity -= it->second;
+  }
   return capacity;
 }
 
@@ -49,10 +52,11 @@
   if (machine.spot && !job.spec.spot) return false;
   if (!TypeAllowed(job, machine.type_name)) return false;
   if (job.failed_on.size() >= kFaultyJobThreshold) return true;
-  // Only for a while: it may be the only machine with capacity.
+  // The backoff ends because the machine may be the only one with capacity.
   const auto failed = job.failed_on.find(machine.id);
   return failed == job.failed_on.end() ||
-         context.now - failed->second >= kFaultRetries * context.state.operator_settings.retry_s;
+         context.now - failed->second >=
+             kFailureBackoffRetryIntervals * context.state.operator_settings.retry_s;
 }
 
 bool MachineAllowed(const SchedulingContext& context, const Job& job, const Machine& machine) {
--- a/src/core/scheduling/placement_constraints.h
+++ b/src/core/scheduling/placement_constraints.h
@@ -1,4 +1,4 @@
-// Where a job's tasks may run: machine types, zones, spread, and machines on which it failed.
+// Decides where a job's tasks may run, by machine type, zone, spread and earlier failures.
 #ifndef ZINCLEAD_CORE_SCHEDULING_PLACEMENT_CONSTRAINTS_H_
 #define ZINCLEAD_CORE_SCHEDULING_PLACEMENT_CONSTRAINTS_H_
 
@@ -11,33 +11,33 @@
 
 namespace zinclead::core {
 
-// The zones of one job's tasks while a decider plans them, beyond what Job::zone_counts holds.
+// The zones of one job's planned tasks, in addition to the placed tasks in Job::zone_counts.
 struct ZonePlan {
-  // The zone for all tasks of a one-zone job of which nothing is on a machine; none if nothing fits
-  // anywhere yet.
+  // The zone for all tasks of a one-zone job that has no task on any machine; nullopt if no zone
+  // has capacity yet.
   std::optional<std::string> chosen_zone;
-  // Tasks that the plan adds to each zone, or removes if negative.
-  std::map<std::string, int> planned;
+  // Tasks that the plan adds to each zone; negative if it removes tasks.
+  std::map<std::string, int> planned_tasks;
 };
 
 // Whether the job's tasks may run on machines of this type.
 bool TypeAllowed(const Job& job, const std::string& type);
 
-// Whether the job allows the offer's type and, if it is spot, spot machines. Zones are not looked
-// at.
+// Whether the job allows the offer's type and, if the offer is spot, spot machines. Zones are not
+// checked.
 bool OfferAllowed(const Job& job, const MachineOffer& offer);
 
 // Whether one more task of the job may run in the zone.
 bool ZoneAllowed(const Job& job, const std::string& zone, const ZonePlan& plan);
 
-// How many more tasks of a spread job the zone may take; negative if it has too many.
+// Returns how many more tasks of a spread job the zone may hold; negative if it holds too many.
 int SpreadCapacity(const Job& job, const std::string& zone, const ZonePlan& plan);
 
-// Whether the job allows the machine: its type, spot or not, and no recent failure there. Zone,
-// capacity and the machine's state are not looked at.
+// Whether the job allows the machine: its type, whether it is a spot machine, and no recent failure
+// of the job on it. Zone, capacity and the machine's state are not checked.
 bool MachineSuits(const SchedulingContext& context, const Job& job, const Machine& machine);
 
-// MachineSuits, and the machine takes new tasks now.
+// Whether the job allows the machine (MachineSuits) and the machine accepts new tasks now.
 bool MachineAllowed(const SchedulingContext& context, const Job& job, const Machine& machine);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -7,11 +7,13 @@
 namespace zinclead::core {
 namespace {
 
-// Urgent jobs do not wait for victims to save a checkpoint; the others only preempt tasks that can.
+// An urgent job does not wait for its victims to save a checkpoint. Other jobs preempt only tasks
+// that save checkpoints.
 bool IsUrgent(const Job& job) { return job.spec.priority <= wire::Priority::kHigh; }
 
-// The least important first, and of those the one that loses least work.
-bool PreemptedBefore(const Attempt* first, const Attempt* second) {
+// Orders victims: the lowest priority first, and within a priority the latest start first, since it
+// loses the least work.
+bool IsPreemptedBefore(const Attempt* first, const Attempt* second) {
   const wire::Priority first_priority = first->job->spec.priority;
   const wire::Priority second_priority = second->job->spec.priority;
   if (first_priority != second_priority) return first_priority > second_priority;
@@ -20,42 +22,51 @@
 
 }  // namespace
 
-uint32_t Preemptor::FreeCapacity(const Job& job, uint32_t tasks, ZonePlan* zones) {
-  const bool guaranteed = context_.quotas.WithinGuaranteedQuota(job);
+uint32_t Preemptor::PreemptForJob(const Job& job, uint32_t tasks, ZonePlan* zones) {
+  const bool is_within_guarantee = context_.quotas.WithinGuaranteedQuota(job);
   const PlacementConstraints search = ConstraintsOf(job);
-  const auto may_preempt_as_much = [&](const PlacementConstraints& failed) {
+  const auto has_same_or_higher_priority = [&](const PlacementConstraints& failed) {
     return failed.priority <= job.spec.priority;
   };
-  if (!guaranteed && unpreemptible_.Contains(search, may_preempt_as_much)) return tasks;
+  if (!is_within_guarantee && failed_preemptions_.Contains(search, has_same_or_higher_priority)) {
+    return tasks;
+  }
   for (const auto& [id, machine] : context_.state.machines) {
     if (tasks == 0) break;
-    if (!guaranteed && machine->stopping == 0 && !MayHaveCapacityFor(job, *machine)) continue;
+    if (!is_within_guarantee && machine->stopping == 0 && !MayHaveCapacityFor(job, *machine)) {
+      continue;
+    }
     if (!MachineAllowed(context_, job, *machine) || !ZoneAllowed(job, machine->zone, *zones)) {
       continue;
     }
-    Preemptible preemptible = FindPreemptible(job, *machine);
+    PreemptibleCapacity preemptible = FindPreemptibleCapacity(job, *machine);
     while (tasks > 0 && ZoneAllowed(job, machine->zone, *zones) &&
-           FreeForOneTask(job, &preemptible)) {
+           PreemptForOneTask(job, &preemptible)) {
       claimed_capacity_[id] += job.request;
-      ++zones->planned[machine->zone];
+      ++zones->planned_tasks[machine->zone];
       --tasks;
     }
   }
-  if (tasks > 0 && !guaranteed && HasOnlyStaticConstraints(job)) unpreemptible_.Add(search);
+  if (tasks > 0 && !is_within_guarantee && HasOnlyStaticConstraints(job)) {
+    failed_preemptions_.Add(search);
+  }
   return tasks;
 }
 
 bool Preemptor::MayHaveCapacityFor(const Job& job, const Machine& machine) const {
-  // Only arrays of lower priority can free capacity here.
-  const Resources lower = LowerPriorityArrayUse(machine, job.spec.priority);
-  if (lower.cpus <= 0 && lower.gpus <= 0 && lower.memory_gb <= 0) return false;
-  Resources most = AvailableOn(context_.state, machine);
-  most += lower;
-  return job.request.Fits(most);
+  const Resources lower_priority_use = LowerPriorityArrayUse(machine, job.spec.priority);
+  if (lower_priority_use.cpus <= 0 && lower_priority_use.gpus <= 0 &&
+      lower_priority_use.memory_gb <= 0) {
+    return false;
+  }
+  Resources max_free = AvailableOn(context_.state, machine);
+  max_free += lower_priority_use;
+  return job.request.Fits(max_free);
 }
 
-Preemptor::Preemptible Preemptor::FindPreemptible(const Job& job, const Machine& machine) {
-  Preemptible preemptible;
+Preemptor::PreemptibleCapacity Preemptor::FindPreemptibleCapacity(const Job& job,
+                                                                  const Machine& machine) {
+  PreemptibleCapacity preemptible;
   preemptible.free = AvailableOn(context_.state, machine);
   if (const auto it = claimed_capacity_.find(machine.id); it != claimed_capacity_.end()) {
     preemptible.free -= it->second;
@@ -68,47 +79,48 @@
       preemptible.victims.push_back(attempt.get());
     }
   }
-  std::sort(preemptible.victims.begin(), preemptible.victims.end(), PreemptedBefore);
+  std::sort(preemptible.victims.begin(), preemptible.victims.end(), IsPreemptedBefore);
   return preemptible;
 }
 
 bool Preemptor::MayPreempt(const Job& job, const Job& other) {
-  if (context_.quotas.ExceedsGuaranteedQuota(job, other)) return true;
+  if (context_.quotas.MayReclaimFrom(job, other)) return true;
   return other.spec.priority > job.spec.priority && other.spec.kind == wire::JobKind::kArray &&
          (IsUrgent(job) || other.spec.checkpoint_s > 0);
 }
 
-bool Preemptor::FreeForOneTask(const Job& job, Preemptible* preemptible) {
+bool Preemptor::PreemptForOneTask(const Job& job, PreemptibleCapacity* preemptible) {
   std::vector<Attempt*> chosen;
   Resources free = preemptible->free;
-  size_t next = preemptible->next_victim;
-  while (!job.request.Fits(free) && next < preemptible->victims.size()) {
-    Attempt* victim = preemptible->victims[next++];
-    const bool lower_priority = victim->job->spec.priority > job.spec.priority;
-    if (!lower_priority) {
-      // What was reclaimed since may have brought its team back within the guarantee.
-      if (!context_.quotas.ExceedsGuaranteedQuota(job, *victim->job)) continue;
-      context_.quotas.Reclaim(*victim->job);
+  size_t next_victim = preemptible->next_victim;
+  while (!job.request.Fits(free) && next_victim < preemptible->victims.size()) {
+    Attempt* victim = preemptible->victims[next_victim++];
+    const bool is_lower_priority = victim->job->spec.priority > job.spec.priority;
+    if (!is_lower_priority) {
+      // Earlier preemptions may have brought the victim's team back within its guaranteed quota.
+      if (!context_.quotas.MayReclaimFrom(job, *victim->job)) continue;
+      context_.quotas.AddReclaimedTask(*victim->job);
     }
     free += victim->job->request;
     chosen.push_back(victim);
   }
   if (!job.request.Fits(free)) return false;
   for (Attempt* attempt : chosen) PreemptAttempt(attempt, IsUrgent(job));
-  preemptible->next_victim = next;
+  preemptible->next_victim = next_victim;
   preemptible->free = free;
   preemptible->free -= job.request;
   return true;
 }
 
-void Preemptor::PreemptAttempt(Attempt* attempt, bool urgent) {
+void Preemptor::PreemptAttempt(Attempt* attempt, bool is_urgent) {
   const double now = context_.now;
-  // A gang is never stopped in part.
+  // All tasks of a gang are stopped together.
   if (attempt->job->gang) {
-    const bool save = !urgent && context_.attempts.CanStopAllTasks(*attempt->job, now);
-    context_.attempts.StopGang(attempt->job, save, now);
+    const bool with_checkpoint =
+        !is_urgent && context_.attempts.CanStopAllTasks(*attempt->job, now);
+    context_.attempts.StopGang(attempt->job, with_checkpoint, now);
   } else {
-    context_.attempts.StopAttempt(attempt, urgent ? 0 : attempt->job->spec.save_s, now);
+    context_.attempts.StopAttempt(attempt, is_urgent ? 0 : attempt->job->spec.save_s, now);
   }
 }
 
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -1,4 +1,5 @@
-// Stops less important tasks so that more important jobs get their capacity.
+// Preempts tasks of lower priority, and tasks of teams above their guaranteed quota, to free their
+// capacity for other jobs.
 #ifndef ZINCLEAD_CORE_SCHEDULING_PREEMPTION_H_
 #define ZINCLEAD_CORE_SCHEDULING_PREEMPTION_H_
 
@@ -13,37 +14,42 @@
 
 namespace zinclead::core {
 
-// Lives for one scheduling cycle, and keeps which capacity it has freed for whom in that cycle.
+// Preempts tasks in one scheduling cycle, for which it lives. Records the capacity that it frees on
+// each machine, so that no two jobs count on the same capacity.
 class Preemptor {
  public:
   explicit Preemptor(SchedulingContext* context) : context_(*context) {}
 
-  // Frees capacity for `tasks` tasks of the job, as far as it may preempt, and adds them to the
-  // plan. Tasks that stop already are counted on as well. Returns for how many tasks no capacity
-  // will become free.
-  uint32_t FreeCapacity(const Job& job, uint32_t tasks, ZonePlan* zones);
+  // Stops tasks of other jobs until capacity for `tasks` tasks of the job becomes free, as far as
+  // the job may preempt, and adds the tasks that will fit to `zones`. The capacity of tasks that
+  // are stopping already is used first. Returns the number of tasks that will not fit.
+  uint32_t PreemptForJob(const Job& job, uint32_t tasks, ZonePlan* zones);
 
  private:
-  // What a machine can give to one job.
-  struct Preemptible {
-    Resources free;  // unclaimed capacity, and what stops already
-    // Attempts that may be stopped, in the order in which they should be.
+  // The capacity of one machine that is free or can be freed for one job.
+  struct PreemptibleCapacity {
+    Resources free;  // unclaimed free capacity, and the requests of tasks that are stopping
+    // Attempts that the job may preempt, in the order in which they are preempted.
     std::vector<Attempt*> victims;
     size_t next_victim = 0;
   };
 
-  // A cheap test that excludes most machines, for jobs that may only preempt lower priorities.
+  // Whether one task of the job would fit if all arrays of lower priority on the machine were
+  // preempted. A cheap filter, for jobs that may preempt only tasks of lower priority.
   bool MayHaveCapacityFor(const Job& job, const Machine& machine) const;
-  Preemptible FindPreemptible(const Job& job, const Machine& machine);
+  PreemptibleCapacity FindPreemptibleCapacity(const Job& job, const Machine& machine);
+  // Whether the job may preempt tasks of `other`.
   bool MayPreempt(const Job& job, const Job& other);
-  // Stops victims until one task of the job fits, and takes its request from what is free. Returns
-  // false, and stops nothing, if it can't fit.
-  bool FreeForOneTask(const Job& job, Preemptible* preemptible);
-  void PreemptAttempt(Attempt* attempt, bool urgent);
+  // Preempts victims until one task of the job fits, and subtracts the task's request from
+  // `preemptible->free`. Returns false, and stops no task, if the task can't fit.
+  bool PreemptForOneTask(const Job& job, PreemptibleCapacity* preemptible);
+  // Stops the attempt, or the whole gang that it belongs to. An urgent preemption leaves the task
+  // no time to save a checkpoint.
+  void PreemptAttempt(Attempt* attempt, bool is_urgent);
 
   SchedulingContext& context_;
-  UnschedulableCache unpreemptible_;
-  std::map<std::string, Resources> claimed_capacity_;  // by machine
+  UnschedulableCache failed_preemptions_;
+  std::map<std::string, Resources> claimed_capacity_;  // by machine id
 };
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/scheduling_context.h
+++ b/src/core/scheduling/scheduling_context.h
@@ -1,4 +1,4 @@
-// The data that the deciders of one scheduling cycle share.
+// The data that the steps of one scheduling cycle share.
 #ifndef ZINCLEAD_CORE_SCHEDULING_SCHEDULING_CONTEXT_H_
 #define ZINCLEAD_CORE_SCHEDULING_SCHEDULING_CONTEXT_H_
 
@@ -11,18 +11,23 @@
 
 namespace zinclead::core {
 
-// Lives for one cycle. `now` is on the steady clock, in seconds.
+// Lives for one cycle. Does not own the state and the tracker. `now` is on the steady clock, in
+// seconds.
 struct SchedulingContext {
-  SchedulingContext(ClusterState* cluster_state, AttemptTracker* attempt_tracker, double cycle_time)
-      : state(*cluster_state), attempts(*attempt_tracker), now(cycle_time), quotas(cluster_state) {}
+  SchedulingContext(ClusterState* cluster_state, AttemptTracker* attempt_tracker,
+                    double cycle_started_at)
+      : state(*cluster_state),
+        attempts(*attempt_tracker),
+        now(cycle_started_at),
+        quotas(cluster_state) {}
 
   ClusterState& state;
   AttemptTracker& attempts;
   const double now;
   TeamQuotas quotas;
   std::vector<Job*> job_queue;
-  size_t next_job = 0;         // position in job_queue behind the job that is being placed
-  Resources smallest_request;  // of each resource, the least that a task in the queue requests
+  size_t next_job = 0;         // position in job_queue after the job that is being placed
+  Resources smallest_request;  // for each resource, the smallest request of a task in the queue
   // Machines with capacity for the smallest request, in the order of their ids.
   std::vector<Machine*> candidates;
 };
--- a/src/core/scheduling/service_consolidation.h
+++ b/src/core/scheduling/service_consolidation.h
@@ -1,4 +1,4 @@
-// Moves services off machines with low utilization so that those can be scaled in.
+// Migrates services off machines with low utilization, so that these machines can be scaled in.
 #ifndef ZINCLEAD_CORE_SCHEDULING_SERVICE_CONSOLIDATION_H_
 #define ZINCLEAD_CORE_SCHEDULING_SERVICE_CONSOLIDATION_H_
 
@@ -6,9 +6,10 @@
 
 namespace zinclead::core {
 
-// Evacuates one machine at most, if all its services can start on other machines at once and the
-// interruptions stay within the share of service time that may be spent on migrations. Requires
-// the headroom of this cycle.
+// Evacuates at most one machine, if all its services can start on other machines at once and the
+// downtime stays within the limits for migrations. Without migration, machines that keep one or two
+// services when load drops are never scaled in. Requires that ReserveServiceHeadroom was called in
+// this cycle.
 void ConsolidateServices(SchedulingContext* context);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/service_headroom.cc
+++ b/src/core/scheduling/service_headroom.cc
@@ -11,58 +11,62 @@
 namespace zinclead::core {
 namespace {
 
-// Headroom is never more than this share of what runs, and one more: a start with many jobs at once
-// does not count as a steady stream.
-constexpr double kHeadroomShare = 0.1;
+// Limits the headroom to this share of the production service tasks, plus one task, so that a burst
+// of submissions is not taken for a steady arrival rate.
+constexpr double kMaxHeadroomShare = 0.1;
 
-// The production services that should run.
+// The production services that are neither done nor cancelled.
 struct ProductionServices {
-  const Job* latest = nullptr;  // null if there is none
+  const Job* latest = nullptr;  // the one accepted last; null if there is none
   uint32_t tasks = 0;
-  double recent_tasks = 0;  // accepted within the window of the forecast
+  double recent_tasks = 0;  // tasks accepted within the arrival window
 };
 
 ProductionServices CountProductionServices(const SchedulingContext& context) {
   ProductionServices services;
-  const double window_s = kHeadroomWindowBoots * SlowestBoot(context.state);
+  const double window_s = kArrivalWindowBootTimes * MaxBootTime(context.state);
   for (const auto& [key, job] : context.state.active_jobs) {
     if (job->spec.kind != wire::JobKind::kService || !job->Live() ||
         job->spec.priority != wire::Priority::kProduction) {
       continue;
     }
-    services.latest = job;  // active jobs are in the order of their acceptance
+    services.latest = job;  // active_jobs is in the order of acceptance
     services.tasks += job->spec.tasks;
     if (context.now - job->accepted_at < window_s) services.recent_tasks += job->spec.tasks;
   }
   return services;
 }
 
-int WantedSlots(const ProductionServices& services) {
-  const double arriving = services.recent_tasks / kHeadroomWindowBoots * kHeadroomBoots;
-  const double limit = kHeadroomShare * static_cast<double>(services.tasks);
-  return 1 + static_cast<int>(std::min(arriving, limit));
+// Returns the number of tasks of production services for which there should be capacity.
+int RequiredSlots(const ProductionServices& services) {
+  const double expected_tasks =
+      services.recent_tasks / kArrivalWindowBootTimes * kHeadroomBootTimes;
+  const double limit = kMaxHeadroomShare * static_cast<double>(services.tasks);
+  return 1 + static_cast<int>(std::min(expected_tasks, limit));
 }
 
-// A service like the latest, without its restrictions to zones.
-Job MakeProbe(const Job& latest) {
-  Job probe;
-  probe.spec = latest.spec;
-  probe.spec.zone.reset();
-  probe.spec.one_zone = probe.spec.spread = false;
-  probe.request = latest.request;
-  return probe;
+// Returns a service with the requirements of the latest one, but allowed in all zones.
+Job MakeTypicalService(const Job& latest) {
+  Job typical_service;
+  typical_service.spec = latest.spec;
+  typical_service.spec.zone.reset();
+  typical_service.spec.one_zone = typical_service.spec.spread = false;
+  typical_service.request = latest.request;
+  return typical_service;
 }
 
-int CountSlots(const SchedulingContext& context, const Job& probe, const Machine& machine) {
-  if (!MachineAllowed(context, probe, machine)) return 0;
-  // What is kept for gangs counts as well: production goes before them.
+// Returns how many typical services the machine has capacity for.
+int CountSlots(const SchedulingContext& context, const Job& typical_service,
+               const Machine& machine) {
+  if (!MachineAllowed(context, typical_service, machine)) return 0;
+  // Headroom for gangs counts as free: production services may use it.
   Resources free = AvailableOn(context.state, machine, CapacityView::kForGangs);
-  free += LowerPriorityArrayUse(machine, probe.spec.priority);
-  return static_cast<int>(FitCount(probe.request, free, kMaxFitCount));
+  free += LowerPriorityArrayUse(machine, typical_service.spec.priority);
+  return static_cast<int>(FitCount(typical_service.request, free, kMaxFitCount));
 }
 
 void ClearHeadroom(ClusterState* state) {
-  state->headroom_surplus = std::numeric_limits<int>::max() / 2;  // none is wanted
+  state->headroom_surplus = std::numeric_limits<int>::max() / 2;  // no headroom is required
   for (const auto& [id, machine] : state->machines) machine->headroom_slots = 0;
 }
 
@@ -75,16 +79,17 @@
     ClearHeadroom(&state);
     return;
   }
-  const Job probe = MakeProbe(*services.latest);
+  const Job typical_service = MakeTypicalService(*services.latest);
   int slots = 0;
   for (const auto& [id, machine] : state.machines) {
-    machine->headroom_slots = CountSlots(*context, probe, *machine);
+    machine->headroom_slots = CountSlots(*context, typical_service, *machine);
     slots += machine->headroom_slots;
   }
-  state.headroom_surplus = slots - WantedSlots(services);
+  state.headroom_surplus = slots - RequiredSlots(services);
   if (state.headroom_surplus >= 0) return;
   ZonePlan zones;
-  autoscaler->RequestCapacity(probe, static_cast<uint32_t>(-state.headroom_surplus), &zones);
+  autoscaler->RequestCapacity(typical_service, static_cast<uint32_t>(-state.headroom_surplus),
+                              &zones);
 }
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/service_headroom.h
+++ b/src/core/scheduling/service_headroom.h
@@ -1,4 +1,4 @@
-// Headroom for production services, which should start before a machine could boot.
+// Reserves headroom for production services, which should start faster than a machine boots.
 #ifndef ZINCLEAD_CORE_SCHEDULING_SERVICE_HEADROOM_H_
 #define ZINCLEAD_CORE_SCHEDULING_SERVICE_HEADROOM_H_
 
@@ -7,9 +7,10 @@
 
 namespace zinclead::core {
 
-// Keeps capacity for the production services that are expected within a machine's boot: free
-// capacity, or capacity used by arrays that may be preempted. Sets Machine::headroom_slots and
-// ClusterState::headroom_surplus, and requests machines if there is too little.
+// Counts the capacity for the production services that are expected while a machine boots: free
+// capacity, and capacity of arrays of lower priority, which may be preempted. Sets
+// Machine::headroom_slots and ClusterState::headroom_surplus, and requests machines if the headroom
+// is too small.
 void ReserveServiceHeadroom(SchedulingContext* context, Autoscaler* autoscaler);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/service_ranking.cc
+++ b/src/core/scheduling/service_ranking.cc
@@ -5,8 +5,8 @@
 namespace zinclead::core {
 namespace {
 
-// What a machine whose image is there or quickly fetched loses for each shortcoming. The sums are
-// below the ranks of machines with a slow fetch.
+// Penalties in the rank of a machine that has the image or can fetch it in time. Their sum is lower
+// than the ranks of machines with a slow fetch.
 constexpr int kNoControllerPenalty = 4;
 constexpr int kNoImagePenalty = 2;
 constexpr int kNoServicesPenalty = 1;
--- a/src/core/scheduling/service_stealing.cc
+++ b/src/core/scheduling/service_stealing.cc
@@ -26,26 +26,28 @@
   return unsent;
 }
 
+// Whether the service may run on `machine` and `machine` ranks no worse than its present machine.
 bool IsAllowedAndNoWorse(const SchedulingContext& context, const Attempt& attempt,
                          const Machine& machine) {
   const Job& job = *attempt.job;
-  const Machine& from = *attempt.machine;
+  const Machine& source = *attempt.machine;
   if (!HasCapacityFor(context, job, machine) || !MachineSuits(context, job, machine)) return false;
-  const ZonePlan zones{std::nullopt, {{from.zone, -1}}};
+  // The task leaves the zone of its source machine.
+  const ZonePlan zones{std::nullopt, {{source.zone, -1}}};
   if (!ZoneAllowed(job, machine.zone, zones)) return false;
   const config::Settings& settings = context.state.settings;
-  const double fetch_limit_s = StartWithin(settings, job) / 2;
+  const double fetch_limit_s = StartLimit(settings, job) / 2;
   return ServiceRank(settings, job, machine, RunsServices(machine), fetch_limit_s) <=
-         ServiceRank(settings, job, from, RunsServices(from), fetch_limit_s);
+         ServiceRank(settings, job, source, RunsServices(source), fetch_limit_s);
 }
 
 void Steal(SchedulingContext* context, Attempt* attempt, Machine* machine) {
   Job* job = attempt->job;
-  Machine* from = attempt->machine;
-  // Nothing was sent there, so its idle time goes on.
-  const double idle_since = from->idle_since;
+  Machine* source = attempt->machine;
+  // The source machine was never sent the start, so its idle time is not reset.
+  const double idle_since = source->idle_since;
   context->attempts.RemoveAttempt(attempt, context->now);
-  from->idle_since = idle_since;
+  source->idle_since = idle_since;
   PlaceTask(context, job, machine, NextAttemptNumber(&context->state));
 }
 
--- a/src/core/scheduling/task_placement.h
+++ b/src/core/scheduling/task_placement.h
@@ -1,4 +1,4 @@
-// Places tasks of arrays and services on machines with free capacity.
+// Places the tasks of job arrays and services on machines with free capacity.
 #ifndef ZINCLEAD_CORE_SCHEDULING_TASK_PLACEMENT_H_
 #define ZINCLEAD_CORE_SCHEDULING_TASK_PLACEMENT_H_
 
@@ -12,22 +12,23 @@
 
 namespace zinclead::core {
 
-// An attempt number that this term has not given out yet.
+// Returns an attempt number that was not used before in this term.
 uint64_t NextAttemptNumber(ClusterState* state);
 
-// Places the first pending task of the job on the machine as attempt `number`. Requires a pending
-// task; the caller has checked capacity and constraints.
+// Places the first pending task of the job on the machine as attempt `number`. Requires that the
+// job has a pending task and that the caller has checked capacity and constraints.
 void PlaceTask(SchedulingContext* context, Job* job, Machine* machine, uint64_t number);
 
-// Places as many of the job's tasks as fit on the candidates, in their order, on those that suit it
-// best first.
+// Places as many of the job's pending tasks as fit on the candidate machines, the most suitable
+// machines first: by rank for a service, then spot machines, then on-demand machines.
 void PlaceOnBestCandidates(SchedulingContext* context, Job* job, const ZonePlan& zones);
 
-// Places as many of the job's tasks as fit on the candidates, in their order.
+// Places as many of the job's pending tasks as fit on the candidate machines, in the order of
+// SchedulingContext::candidates.
 void PlaceOnCandidates(SchedulingContext* context, Job* job, const ZonePlan& zones);
 
-// The allowed zone whose candidates have capacity for most tasks of the job, each machine counting
-// for `tasks` at most; none if nothing fits.
+// Returns the allowed zone whose candidate machines have capacity for the most tasks of the job;
+// nullopt if no task fits. A machine counts for at most `tasks` tasks.
 std::optional<std::string> ChooseZone(const SchedulingContext& context, const Job& job,
                                       uint32_t tasks, CapacityView view);
 
--- a/src/core/scheduling/team_quotas.cc
+++ b/src/core/scheduling/team_quotas.cc
@@ -23,7 +23,7 @@
   }
 }
 
-bool TeamQuotas::ExceedsGuaranteedQuota(const Job& job, const Job& other) {
+bool TeamQuotas::MayReclaimFrom(const Job& job, const Job& other) {
   if (!WithinGuaranteedQuota(job) || job.spec.team == other.spec.team) return false;
   const config::Team* team = TeamOf(other);
   Resources used = state_.team_usage[other.spec.team];
--- a/src/core/scheduling/team_quotas.h
+++ b/src/core/scheduling/team_quotas.h
@@ -1,4 +1,5 @@
-// Team quotas: the resources that a team is guaranteed, and the limit that it may not exceed.
+// Checks team quotas: the resources that a team is guaranteed, and the limit that it may not
+// exceed.
 #ifndef ZINCLEAD_CORE_SCHEDULING_TEAM_QUOTAS_H_
 #define ZINCLEAD_CORE_SCHEDULING_TEAM_QUOTAS_H_
 
@@ -11,29 +12,30 @@
 
 namespace zinclead::core {
 
-// Answers quota questions for one scheduling cycle, and keeps what the cycle preempts of each team.
+// Checks quotas in one scheduling cycle, and counts the resources that the cycle preempts from each
+// team.
 class TeamQuotas {
  public:
   explicit TeamQuotas(ClusterState* state) : state_(*state) {}
 
-  // Finds the teams whose unfinished jobs all fit within their guarantee: they need not wait for
-  // other teams. Before this call no team counts as such.
+  // Finds the teams whose unfinished jobs all fit within their guaranteed quota. Jobs of these
+  // teams are placed before those of other teams. Until this call, no team is within its guarantee.
   void FindTeamsWithinGuarantee();
 
-  // Whether everything that the job's team asks for fits within the team's guarantee.
+  // Whether all unfinished jobs of the job's team fit within the team's guaranteed quota.
   bool WithinGuaranteedQuota(const Job& job) const {
     return teams_within_guarantee_.contains(job.spec.team);
   }
-  // Whether `other` belongs to another team that uses more than its guarantee, so that it may be
-  // preempted for `job`, whose team is within its own.
-  bool ExceedsGuaranteedQuota(const Job& job, const Job& other);
-  // Counts a task of the job as preempted in this cycle for a team within its guarantee.
-  void Reclaim(const Job& job) { reclaimed_quota_[job.spec.team] += job.request; }
+  // Whether `other` may be preempted for `job`: the job's team is within its guaranteed quota, and
+  // `other` belongs to another team that uses more than its own.
+  bool MayReclaimFrom(const Job& job, const Job& other);
+  // Counts a task of the job as preempted in this cycle, to be subtracted from its team's usage.
+  void AddReclaimedTask(const Job& job) { reclaimed_quota_[job.spec.team] += job.request; }
 
-  // Whether usage of the job's team is limited. A team that is not configured may use nothing.
+  // Whether the job's team has a quota limit. The limit of a team that is not configured is zero.
   bool HasQuotaLimit(const Job& job) const;
-  // Whether `tasks` more tasks of the job keep its team within its limit. The limit counts
-  // everything of the team that may be on a machine.
+  // Whether the job's team stays within its limit with `tasks` more tasks of the job. Every task of
+  // the team that may be on a machine counts.
   bool WithinQuotaLimit(const Job& job, uint32_t tasks = 1) const;
 
  private:
--- a/src/core/scheduling/upcoming_capacity.cc
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -7,24 +7,25 @@
 uint32_t UpcomingCapacity::Claim(const Job& job, uint32_t tasks, ZonePlan* zones) {
   if (!collected_) Collect();
   const PlacementConstraints search = ConstraintsOf(job);
-  if (unschedulable_.Contains(search)) return tasks;
+  if (failed_claims_.Contains(search)) return tasks;
   for (UpcomingMachine& machine : machines_) {
     if (tasks == 0) break;
     if (!OfferAllowed(job, machine.offer)) continue;
     const std::string& zone = machine.offer.zone;
     while (tasks > 0 && job.request.Fits(machine.free) && ZoneAllowed(job, zone, *zones)) {
       machine.free -= job.request;
-      ++zones->planned[zone];
+      ++zones->planned_tasks[zone];
       --tasks;
     }
   }
-  if (tasks > 0 && HasOnlyStaticConstraints(job)) unschedulable_.Add(search);
+  if (tasks > 0 && HasOnlyStaticConstraints(job)) failed_claims_.Add(search);
   return tasks;
 }
 
-void UpcomingCapacity::Add(const wire::MachineType& type, const MachineOffer& offer, int count) {
+void UpcomingCapacity::AddRequested(const wire::MachineType& type, const MachineOffer& offer,
+                                    int count) {
   AddMachines(type, offer, count);
-  unschedulable_.Clear();
+  failed_claims_.Clear();
 }
 
 void UpcomingCapacity::Collect() {
@@ -47,12 +48,12 @@
 bool UpcomingCapacity::IsUpcoming(const Machine& machine) const {
   if (!machine.Schedulable() || machine.type == nullptr || machine.from_list) return false;
   if (machine.stage == MachineStage::kBooting) {
-    // Past that it may never come up.
+    // A machine that boots for longer may never come up.
     return context_.now - machine.requested_at <=
            context_.state.operator_settings.boot_late * machine.type->boot_s;
   }
   if (machine.dispatchable && machine.acknowledged && !machine.epoch_expired) return false;
-  // Without heartbeats it may be lost.
+  // A machine without recent heartbeats may be lost.
   return context_.now - machine.last_heartbeat_at <= context_.state.settings.lease_s / 2;
 }
 
--- a/src/core/scheduling/upcoming_capacity.h
+++ b/src/core/scheduling/upcoming_capacity.h
@@ -1,5 +1,5 @@
-// Capacity that will exist soon, so that no further machines are requested for tasks that it can
-// take.
+// Tracks capacity that will exist soon, so that no further machines are requested for tasks that
+// will fit on it.
 #ifndef ZINCLEAD_CORE_SCHEDULING_UPCOMING_CAPACITY_H_
 #define ZINCLEAD_CORE_SCHEDULING_UPCOMING_CAPACITY_H_
 
@@ -13,17 +13,17 @@
 
 namespace zinclead::core {
 
-// Machines that boot or are not dispatchable yet and unanswered scale-out requests, less what this
-// cycle has claimed of them. Collected at first use.
+// The free capacity of machines that are booting or not dispatchable yet and of unanswered
+// scale-out requests, less the claims of this scheduling cycle. Collected at first use.
 class UpcomingCapacity {
  public:
   explicit UpcomingCapacity(const SchedulingContext* context) : context_(*context) {}
 
-  // Claims capacity for `tasks` tasks of the job, as far as there is, and adds them to the plan.
-  // Returns for how many tasks there is none.
+  // Claims capacity for up to `tasks` tasks of the job, and adds those tasks to `zones`. Returns
+  // the number of tasks for which there is no capacity.
   uint32_t Claim(const Job& job, uint32_t tasks, ZonePlan* zones);
-  // Adds `count` empty machines, which were just requested.
-  void Add(const wire::MachineType& type, const MachineOffer& offer, int count);
+  // Adds `count` empty machines that were just requested.
+  void AddRequested(const wire::MachineType& type, const MachineOffer& offer, int count);
 
  private:
   struct UpcomingMachine {
@@ -32,14 +32,14 @@
   };
 
   void Collect();
-  // Whether the machine should take tasks soon.
+  // Whether the machine is expected to accept tasks soon.
   bool IsUpcoming(const Machine& machine) const;
   void AddMachines(const wire::MachineType& type, const MachineOffer& offer, int count);
 
   const SchedulingContext& context_;
   std::vector<UpcomingMachine> machines_;
   bool collected_ = false;
-  UnschedulableCache unschedulable_;
+  UnschedulableCache failed_claims_;
 };
 
 }  // namespace zinclead::core
--- a/src/core/token_bucket.cc
+++ b/src/core/token_bucket.cc
@@ -5,41 +5,42 @@
 namespace zinclead::core {
 namespace {
 
-// Rounding: a caller that has waited for the time that Wait named gets its token.
-constexpr double kSlack = 1e-9;
+// Tolerance for rounding errors, so that Take succeeds after the time that Wait returned.
+constexpr double kTokenTolerance = 1e-9;
 
 }  // namespace
 
-TokenBucket::TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
+TokenBucket::TokenBucket(double rate, double burst)
+    : tokens_per_s_(rate), burst_(burst), tokens_(burst) {}
 
-double TokenBucket::Level(double now) const {
-  return std::min(burst_, level_ + std::max(0.0, now - at_) * rate_);
+double TokenBucket::AvailableTokens(double now) const {
+  return std::min(burst_, tokens_ + std::max(0.0, now - updated_at_) * tokens_per_s_);
 }
 
-double TokenBucket::Reserve(Importance importance) const {
-  // An eighth of the burst is kept for each greater importance.
+double TokenBucket::ReservedTokens(Importance importance) const {
+  // An eighth of the burst is reserved for each higher importance.
   return burst_ * static_cast<double>(importance) / 8;
 }
 
 bool TokenBucket::Take(double now, double amount, Importance importance) {
-  level_ = Level(now);
-  at_ = std::max(at_, now);
-  // An amount that could never fit is granted when the bucket is full.
-  const double request = std::min(amount + Reserve(importance), burst_);
-  if (level_ + kSlack < request) return false;
-  level_ -= amount;
+  tokens_ = AvailableTokens(now);
+  updated_at_ = std::max(updated_at_, now);
+  // An amount that exceeds the burst together with its reserve is granted when the bucket is full.
+  const double required_tokens = std::min(amount + ReservedTokens(importance), burst_);
+  if (tokens_ + kTokenTolerance < required_tokens) return false;
+  tokens_ -= amount;
   return true;
 }
 
 double TokenBucket::Wait(double now, double amount, Importance importance) const {
-  const double request = std::min(amount + Reserve(importance), burst_);
-  const double missing = request - Level(now);
-  return missing <= kSlack ? 0 : missing / rate_;
+  const double required_tokens = std::min(amount + ReservedTokens(importance), burst_);
+  const double missing_tokens = required_tokens - AvailableTokens(now);
+  return missing_tokens <= kTokenTolerance ? 0 : missing_tokens / tokens_per_s_;
 }
 
 void TokenBucket::Drain(double now) {
-  level_ = std::min(0.0, Level(now));
-  at_ = std::max(at_, now);
+  tokens_ = std::min(0.0, AvailableTokens(now));
+  updated_at_ = std::max(updated_at_, now);
 }
 
 }  // namespace zinclead::core
--- a/src/core/token_bucket.h
+++ b/src/core/token_bucket.h
@@ -1,33 +1,36 @@
-// A token bucket for calls to a shared service, with a reserve for important calls: each importance
-// leaves tokens in the bucket that only greater ones may use. Times are seconds on the steady
-// clock.
+// A token bucket that limits the rate of calls to a shared service. Calls of lower importance leave
+// a reserve of tokens in the bucket for calls of higher importance. Times are on the steady clock,
+// in seconds.
 #ifndef ZINCLEAD_CORE_TOKEN_BUCKET_H_
 #define ZINCLEAD_CORE_TOKEN_BUCKET_H_
 
 namespace zinclead::core {
 
-// From the greatest to the least.
+// The importance of a call, the highest first.
 enum class Importance { kLeadership = 0, kUser = 1, kNormal = 2, kBackground = 3 };
 
+// Not thread-safe.
 class TokenBucket {
  public:
-  // `rate`: tokens a second; `burst`: tokens that a full bucket holds, which it does at first.
+  // `rate`: tokens per second; `burst`: tokens in a full bucket. The bucket is full at first.
   TokenBucket(double rate, double burst);
-  // Takes `amount` tokens if the bucket holds them beyond the reserve for greater importance.
+  // Takes `amount` tokens and returns true if the bucket holds that many beyond the reserve for
+  // higher importance; otherwise takes none.
   bool Take(double now, double amount, Importance importance);
-  // Seconds until Take may succeed, 0 if now.
+  // Returns the seconds until Take may succeed; 0 if it succeeds now. Does not block.
   double Wait(double now, double amount, Importance importance) const;
-  // The service has refused calls as too many: empties the bucket.
+  // Empties the bucket, after the service has refused a call because of its rate limit.
   void Drain(double now);
-  double rate() const { return rate_; }
+  // Tokens per second.
+  double rate() const { return tokens_per_s_; }
 
  private:
-  double Level(double now) const;
-  double Reserve(Importance importance) const;
-  double rate_;
+  double AvailableTokens(double now) const;
+  double ReservedTokens(Importance importance) const;
+  double tokens_per_s_;
   double burst_;
-  double level_;
-  double at_ = 0;
+  double tokens_;
+  double updated_at_ = 0;  // when tokens_ was computed
 };
 
 }  // namespace zinclead::core
--- a/tests/core/placement_test.cc
+++ b/tests/core/placement_test.cc
@@ -1,4 +1,4 @@
-// Where tasks are placed, and when.
+// Tests of task placement: on which machines tasks are placed, and in which order.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,9 +12,8 @@
 namespace zinclead::core {
 namespace {
 
-// A scheduling cycle does not repeat for like jobs a search that found no machine. On generated
-// clusters no job is left waiting while a machine that it may use has capacity for one of its
-// tasks.
+// A scheduling cycle skips the search for a job if the same search has failed before in the cycle.
+// Guards, on generated clusters, against skipping a job that would have found a machine.
 RC_GTEST_FIXTURE_PROP(CoreTest, NoTaskWaitsWhenAnAllowedMachineHasCapacity, ()) {
   const std::vector<std::string> zones{"a", "b", "c"};
   const int machines = *rc::gen::inRange(1, 9);
@@ -62,75 +61,75 @@
       }
       Resources free = machine->capacity;
       free -= machine->used;
-      const auto here = job->zone_counts.find(machine->zone);
-      const int count = here == job->zone_counts.end() ? 0 : here->second;
-      const bool allowed =
+      const auto zone_count = job->zone_counts.find(machine->zone);
+      const int count = zone_count == job->zone_counts.end() ? 0 : zone_count->second;
+      const bool is_allowed =
           (job->spec.spot || !machine->spot) &&
           (!job->spec.zone || *job->spec.zone == machine->zone) &&
           (!job->spec.spread || count < static_cast<int>((job->spec.tasks + 1) / 2)) &&
           (!job->spec.one_zone || job->zone_counts.empty() || count > 0);
-      RC_ASSERT(!(allowed && job->request.Fits(free)));
+      RC_ASSERT(!(is_allowed && job->request.Fits(free)));
     }
   }
 }
 
-// More work than the cloud has machines for, for a long time: strict priority and oldest first
-// would keep the large best-effort arrays, and gangs that wait for all their capacity, from
+// Guards against starvation: while the demand exceeds the capacity of the cloud, strict priority
+// would keep large best-effort arrays, and gangs that need all their capacity at once, from
 // starting.
 RC_GTEST_FIXTURE_PROP(CoreTest, LargeJobsStartWhenTheFleetIsOverloaded, ()) {
   operator_settings_.max_active_jobs = 40;  // keeps the queue, and the test, short
   Restart();
   const int machines = *rc::gen::inRange(2, 6);
-  const int stream = *rc::gen::inRange(1, 4);  // tasks that come with each second
-  const auto large = static_cast<uint32_t>(*rc::gen::inRange(8, 150));
-  const auto gang = static_cast<uint32_t>(*rc::gen::inRange(2, 4 * machines));
+  const int job_tasks = *rc::gen::inRange(1, 4);  // of each job in the stream of small jobs
+  const auto large_job_tasks = static_cast<uint32_t>(*rc::gen::inRange(8, 150));
+  const auto gang_tasks = static_cast<uint32_t>(*rc::gen::inRange(2, 4 * machines));
   std::vector<std::map<std::string, wire::TaskStatus>> tasks(static_cast<size_t>(machines));
-  std::map<std::string, double> ends;
+  std::map<std::string, double> ends_at;
   for (int i = 0; i < machines; ++i) {
     BringUp("i-" + std::to_string(100 + i), &tasks[static_cast<size_t>(i)]);
   }
-  const double began = now_;
-  wire::JobSpec spec = testing::MakeJob("req-1", large);
+  const double started_at = now_;
+  wire::JobSpec spec = testing::MakeJob("req-1", large_job_tasks);
   spec.priority = wire::Priority::kLow;
   Submit(spec);
-  spec = testing::MakeJob("req-2", gang);
+  spec = testing::MakeJob("req-2", gang_tasks);
   spec.kind = wire::JobKind::kGang;
   spec.priority = wire::Priority::kLow;
   Submit(spec);
-  std::map<std::string, double> started;
+  std::map<std::string, double> job_started_at;
   int number = 10;
-  for (double next = now_; now_ < began + 240;) {
-    while (now_ >= next) {
-      spec = testing::MakeJob("req-" + std::to_string(++number), static_cast<uint32_t>(stream));
+  for (double next_submission_at = now_; now_ < started_at + 240;) {
+    while (now_ >= next_submission_at) {
+      spec = testing::MakeJob("req-" + std::to_string(++number), static_cast<uint32_t>(job_tasks));
       spec.priority = number % 2 == 0 ? wire::Priority::kNormal : wire::Priority::kHigh;
       Submit(spec);
-      next += 0.25 * stream / machines;
+      next_submission_at += 0.25 * job_tasks / machines;
     }
     Store();
     cluster_->Schedule(now_);
     for (int i = 0; i < machines; ++i) {
-      auto& mine = tasks[static_cast<size_t>(i)];
-      for (auto& [name, task] : mine) {
-        if (!started.contains(task.task.job)) started[task.task.job] = now_;
-        if (!ends.contains(name)) ends[name] = now_ + 5;
-        if (now_ >= ends[name]) {
+      auto& machine_tasks = tasks[static_cast<size_t>(i)];
+      for (auto& [name, task] : machine_tasks) {
+        if (!job_started_at.contains(task.task.job)) job_started_at[task.task.job] = now_;
+        if (!ends_at.contains(name)) ends_at[name] = now_ + 5;
+        if (now_ >= ends_at[name]) {
           task.phase = wire::TaskPhase::kEnded;
           task.cause = wire::EndCause::kDone;
         }
       }
-      const double before = now_;
-      SendHeartbeat("i-" + std::to_string(100 + i), &mine);
-      now_ = before + 0.5 / machines;
+      const double sent_at = now_;
+      SendHeartbeat("i-" + std::to_string(100 + i), &machine_tasks);
+      now_ = sent_at + 0.5 / machines;
     }
   }
-  RC_ASSERT(started.contains("req-1"));
-  RC_ASSERT(started.contains("req-2"));
-  RC_ASSERT(started.at("req-1") - began < 240);
-  RC_ASSERT(started.at("req-2") - began < 240);
+  RC_ASSERT(job_started_at.contains("req-1"));
+  RC_ASSERT(job_started_at.contains("req-2"));
+  RC_ASSERT(job_started_at.at("req-1") - started_at < 240);
+  RC_ASSERT(job_started_at.at("req-2") - started_at < 240);
 }
 
-// A service waited for the heartbeat of the first machine with capacity, up to the longest
-// heartbeat interval, which is longer than some classes may wait at all.
+// Guards against services that wait for the next heartbeat of the machine on which they were placed
+// while another suitable machine sends a heartbeat sooner.
 TEST_F(CoreTest, ServiceStartsOnTheMachineWhoseHeartbeatComesFirst) {
   std::map<std::string, std::map<std::string, wire::TaskStatus>> tasks;
   for (const char* id : {"i-1", "i-2", "i-3"}) BringUp(id, &tasks[id]);
@@ -145,11 +144,11 @@
   EXPECT_EQ(tasks["i-2"].size(), 2U);
   SendHeartbeat("i-1", &tasks["i-1"]);
   EXPECT_TRUE(tasks["i-1"].empty());
-  // What was sent stays where it is.
-  for (auto& [id, mine] : tasks) SendHeartbeat(id, &mine);
+  // Services whose start was sent are not moved.
+  for (auto& [id, machine_tasks] : tasks) SendHeartbeat(id, &machine_tasks);
   EXPECT_EQ(tasks["i-3"].size() + tasks["i-2"].size(), 6U);
   EXPECT_EQ(cluster_->View("req-1")->running, 6U);
-  // Where its image is, it waits rather than start where it must be fetched.
+  // A service waits for a machine that has its image rather than move to one that must fetch it.
   spec = testing::MakeJob("req-2");
   spec.kind = wire::JobKind::kService;
   spec.image_gb = 100;
@@ -162,12 +161,13 @@
   EXPECT_TRUE(tasks["i-2"].contains("req-2/0"));
 }
 
-// The machine it failed on may be the only one with capacity.
+// Guards against a job that waits forever because the machine on which it failed is the only one
+// with capacity.
 TEST_F(CoreTest, JobIsRetriedOnTheMachineItFailedOnWhenThereIsNoOther) {
   std::map<std::string, wire::TaskStatus> tasks;
   wire::JobSpec service = testing::MakeJob("req-2");
   service.kind = wire::JobKind::kService;
-  Submit(service);  // keeps the machine from being scaled in
+  Submit(service);  // prevents the machine from being scaled in
   Submit(testing::MakeJob("req-1"));
   Store();
   BringUp("i-1", &tasks);
--- a/tests/core/scale_out_test.cc
+++ b/tests/core/scale_out_test.cc
@@ -1,4 +1,4 @@
-// Scale-out requests and the machines that they bring.
+// Tests of scale-out requests and of the machines that they provision.
 
 #include <gtest/gtest.h>
 
@@ -7,16 +7,16 @@
 namespace zinclead::core {
 namespace {
 
-// Found on days with a leader change: idle machines were kept for another minute, and slow boots
-// were given a new start, because the new leader took its own start for the time of the request.
+// Guards against a new leader that takes the start of its term for the time of the request: idle
+// machines would be scaled in too late, and slow boots would be given up too late.
 TEST_F(CoreTest, RequestTimeIsKeptWhenTheLeaderChanges) {
   Submit(testing::MakeJob("req-1"));
   Store();
   cluster_->Schedule(now_);
   Store();
-  const CloudActions asked = cluster_->Schedule(now_);
-  ASSERT_EQ(asked.scale_out.size(), 1U);
-  cluster_->OnScaleOutAnswered(asked.scale_out[0].name, Cluster::ScaleOutOutcome::kProvisioned,
+  const CloudActions actions = cluster_->Schedule(now_);
+  ASSERT_EQ(actions.scale_out.size(), 1U);
+  cluster_->OnScaleOutAnswered(actions.scale_out[0].name, Cluster::ScaleOutOutcome::kProvisioned,
                                {"i-1"}, now_);
   Store();
   const double requested_at = cluster_->machines().at("i-1")->requested_at;
--- a/tests/core/token_bucket_test.cc
+++ b/tests/core/token_bucket_test.cc
@@ -1,4 +1,4 @@
-// Token buckets with a reserve for important calls.
+// Tests of token buckets with a reserve for calls of higher importance.
 
 #include "core/token_bucket.h"
 
@@ -10,23 +10,23 @@
 namespace zinclead::core {
 namespace {
 
-// No history of calls gets more tokens than rate and burst allow, and greater importance is never
-// refused where lesser is served.
-RC_GTEST_PROP(TokenBucket, KeepsItsRateAndServesGreaterImportanceFirst, ()) {
+// Guards against granting more tokens than rate and burst allow, and against refusing a call of
+// higher importance while one of lower importance would be granted.
+RC_GTEST_PROP(TokenBucket, LimitsTheRateAndPrefersHigherImportance, ()) {
   const double rate = *rc::gen::inRange(1, 50);
   TokenBucket bucket(rate, rate);
-  const auto waits = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 300));
+  const auto waits_ms = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 300));
   double now = 0;
-  double taken = 0;
-  for (const int wait : waits) {
-    now += wait / 1000.0;
+  double taken_tokens = 0;
+  for (const int wait_ms : waits_ms) {
+    now += wait_ms / 1000.0;
     const auto importance = static_cast<Importance>(*rc::gen::inRange(0, 4));
-    const bool could = bucket.Wait(now, 1, importance) <= 0;
+    const bool is_available = bucket.Wait(now, 1, importance) <= 0;
     RC_ASSERT(bucket.Wait(now, 1, Importance::kLeadership) <= bucket.Wait(now, 1, importance));
-    const bool did = bucket.Take(now, 1, importance);
-    RC_ASSERT(did == could);
-    if (did) ++taken;
-    RC_ASSERT(taken <= rate + rate * now + 1e-6);
+    const bool is_taken = bucket.Take(now, 1, importance);
+    RC_ASSERT(is_taken == is_available);
+    if (is_taken) ++taken_tokens;
+    RC_ASSERT(taken_tokens <= rate + rate * now + 1e-6);
   }
 }
 
--- a/tests/cycle_rate_limiter_test.cc
+++ b/tests/cycle_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-// How often whole scheduling passes run on a slow node.
+// Tests of the limit on the rate of scheduling cycles on a slow node.
 
 #include "core/cycle_rate_limiter.h"
 
@@ -13,37 +13,38 @@
 
 class CycleRateLimiterTest : public ::testing::Test {
  protected:
-  // Runs a pass that takes so long; the time until the next may run.
-  double PauseAfter(double took_s) {
-    pacer_.Run(kNow, [&] { clock_ += took_s; });
-    return pacer_.next_at() - kNow;
+  // Runs a cycle that takes `cycle_s` seconds. Returns the seconds until the next cycle may run.
+  double PauseAfter(double cycle_s) {
+    limiter_.Run(kNow, [&] { clock_ += cycle_s; });
+    return limiter_.next_at() - kNow;
   }
   const config::Settings settings_ = testing::MakeSettings();
   const config::OperatorSettings operator_settings_{};
   double clock_ = 5;
-  CycleRateLimiter pacer_{settings_, operator_settings_, [this] { return clock_; }};
+  CycleRateLimiter limiter_{settings_, operator_settings_, [this] { return clock_; }};
 };
 
-TEST_F(CycleRateLimiterTest, QuickPassesKeepTheLeastInterval) {
+TEST_F(CycleRateLimiterTest, ShortCyclesKeepTheMinimumInterval) {
   EXPECT_NEAR(PauseAfter(0.0001), 0.05 * settings_.heartbeat_interval_s, 1e-9);
 }
 
-TEST_F(CycleRateLimiterTest, SlowPassesTakeAQuarterOfTheTime) {
+TEST_F(CycleRateLimiterTest, LongCyclesTakeAQuarterOfTheTime) {
   EXPECT_NEAR(PauseAfter(0.3), 1.2, 1e-9);
 }
 
-// However slow it is, pending jobs are looked at again in a retry interval.
-TEST_F(CycleRateLimiterTest, NoPauseIsLongerThanARetry) {
+// Guards against pending jobs that wait for longer than a retry interval on a very slow node.
+TEST_F(CycleRateLimiterTest, PauseIsAtMostTheRetryInterval) {
   EXPECT_NEAR(PauseAfter(60), operator_settings_.retry_s, 1e-9);
 }
 
-TEST(CycleRateLimiter, NeedsNoClock) {
+// Without a clock the limiter still runs cycles and keeps the minimum interval.
+TEST(CycleRateLimiter, RunsWithoutClock) {
   const config::Settings settings = testing::MakeSettings();
-  CycleRateLimiter pacer(settings, {}, {});
-  bool ran = false;
-  pacer.Run(kNow, [&] { ran = true; });
-  EXPECT_TRUE(ran);
-  EXPECT_NEAR(pacer.next_at() - kNow, 0.05 * settings.heartbeat_interval_s, 1e-9);
+  CycleRateLimiter limiter(settings, {}, {});
+  bool has_run = false;
+  limiter.Run(kNow, [&] { has_run = true; });
+  EXPECT_TRUE(has_run);
+  EXPECT_NEAR(limiter.next_at() - kNow, 0.05 * settings.heartbeat_interval_s, 1e-9);
 }
 
 }  // namespace
