--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,4 +1,5 @@
-// An attempt to run a task on a machine. Times are seconds on the steady clock.
+// The leader's state of an attempt to run a task on a machine. Times are seconds on the steady
+// clock.
 #ifndef ZINCLEAD_CORE_ATTEMPT_H_
 #define ZINCLEAD_CORE_ATTEMPT_H_
 
@@ -12,19 +13,21 @@
 struct Machine;
 struct Job;
 
-// Attempt numbers hold the term in which they were assigned, so that none is ever used twice.
+// Attempt numbers contain the term that assigned them, so that no number is used twice.
 constexpr uint64_t MakeAttempt(uint64_t term, uint32_t counter) { return (term << 32U) | counter; }
+// The term that assigned the attempt number.
 constexpr uint64_t TermOfAttempt(uint64_t attempt) { return attempt >> 32U; }
 
 // Identifies an attempt on its machine.
 struct AttemptKey {
-  uint64_t job = 0;     // Job::serial: cheaper to compare than the job's id
+  uint64_t job = 0;     // Job::serial, which is cheaper to compare than the job's id
   uint32_t index = 0;   // of the task in its job
   uint64_t number = 0;  // of the attempt
   auto operator<=>(const AttemptKey&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-// kPlaced: decided, and in no heartbeat yet. The others are the phases that heartbeats list.
+// kPlaced: placed by this leader, and not listed by a heartbeat yet. The others are the phases that
+// heartbeats list.
 enum class AttemptPhase : uint8_t { kPlaced, kFetching, kWaiting, kRunning, kSaving, kEnded };
 
 // Whether the task's program executes in this phase.
@@ -32,24 +35,25 @@
   return phase == AttemptPhase::kRunning || phase == AttemptPhase::kSaving;
 }
 
-// One attempt to run a task on one machine, from the decision until the machine no longer knows it.
+// Exists from the decision to place the task until the machine no longer holds it. Owned by its
+// machine.
 struct Attempt {
   Job* job = nullptr;
   Machine* machine = nullptr;
   uint32_t index = 0;
   uint64_t number = 0;
   AttemptPhase phase = AttemptPhase::kPlaced;
-  wire::EndCause cause = wire::EndCause::kNone;  // kEnded: why
-  bool start_sent = false;                       // some response held a start
+  wire::EndCause cause = wire::EndCause::kNone;  // why it ended; only in kEnded
+  bool start_sent = false;                       // some response contained its start command
   bool listed = false;                           // some heartbeat has listed it
-  uint64_t listed_in_heartbeat = 0;  // the last one that did, by ClusterState::heartbeat_count
-  bool stop = false;                 // it is to be stopped
-  double grace_s = 0;                // time to save that the stop allows
-  bool holds_allocation = false;     // counted against machine, team and zone
-  double since = 0;                  // when it was placed or first listed
+  uint64_t last_listed_heartbeat = 0;  // ClusterState::heartbeat_count at the last listing
+  bool stop = false;                   // it is to be stopped
+  double grace_s = 0;                  // time that the stop allows for saving
+  bool holds_allocation = false;       // counted for its machine, team and zone
+  double since = 0;                    // when it was placed or first listed
   double running_since = 0;
-  double stop_since = 0;
-  // A gang's task: heartbeats since a task of the gang was lost that show it waiting.
+  double stop_requested_at = 0;
+  // Only in gangs: heartbeats that listed the task as waiting since the gang last lost a task.
   int waiting_heartbeats = 0;
 };
 
--- a/src/core/attempt_tracker.cc
+++ b/src/core/attempt_tracker.cc
@@ -71,11 +71,10 @@
   ArchiveJobIfFinished(job);
 }
 
-void AttemptTracker::DropAllAttempts(Machine* machine, double now) {
+void AttemptTracker::RemoveAllAttempts(Machine* machine, double now) {
   while (!machine->attempts.empty()) {
     Attempt* attempt = machine->attempts.begin()->second.get();
-    // A completion that is not stored yet is now known only here: it is stored from memory, so
-    // nothing is lost with the machine.
+    // A completion that is not stored yet is not lost with the machine: it is stored from memory.
     RemoveAttempt(attempt, now);
   }
 }
@@ -90,8 +89,8 @@
   job->tasks[index] = TaskState::kPending;
   ++job->pending;
   job->first_pending = std::min(job->first_pending, index);
-  // A service that has lost a task is placed where a whole scheduling cycle finds the best machine,
-  // not on whichever machine sends a heartbeat until then.
+  // A whole scheduling cycle places a service's lost task on the best machine, not the next
+  // heartbeat on whichever machine sends it.
   if (job->spec.kind == wire::JobKind::kService) job->considered = false;
   if (job->gang) OnGangTaskLost(job, cause, now);
   state_.schedule_due = true;
@@ -103,7 +102,7 @@
     state_.unsent_services.erase(KeyOf(*attempt));
     attempt->stop = true;
     if (attempt->holds_allocation) ++attempt->machine->stopping;
-    attempt->stop_since = now;
+    attempt->stop_requested_at = now;
     attempt->grace_s = grace_s;
   } else {
     attempt->grace_s = std::min(attempt->grace_s, grace_s);
@@ -126,7 +125,7 @@
 void AttemptTracker::OnTaskDone(Attempt* attempt, double now) {
   Job* job = attempt->job;
   if (job->gang) {
-    // The tasks of a gang complete together.
+    // All tasks of a gang complete together.
     job->gang->On(GangEvent::kDone);
     for (uint32_t index = 0; index < job->spec.tasks; ++index) MarkDone(job, index);
     job->active.clear();
@@ -146,9 +145,10 @@
   if (job->final_state == FinalState::kNone || !job->attempts.empty()) return;
   const std::string key = JobKey(job->spec.id);
   if (queue_.Contains(key) || queue_.HasWriteInFlight(key)) return;
-  // Tasks of inherited cancelled jobs may run on machines that have not sent a heartbeat yet.
+  // Tasks of an inherited cancelled job may run on machines that have not sent this leader a
+  // heartbeat.
   if (job->inherited && !state_.reconciled) return;
-  state_.finished[job->spec.id] = {job->final_state, job->spec.tasks};
+  state_.finished_jobs[job->spec.id] = {job->final_state, job->spec.tasks};
   const std::string id = job->spec.id;
   state_.jobs.erase(id);
 }
--- a/src/core/attempt_tracker.h
+++ b/src/core/attempt_tracker.h
@@ -1,5 +1,5 @@
-// Keeps attempts and everything that counts them in step: allocations of machines, teams and zones,
-// and the states of jobs' tasks. Attempts are added, changed and removed only through it. Times are
+// Adds, changes and removes attempts, and keeps consistent with them the allocations of machines,
+// teams and zones and the states of jobs' tasks. Attempts change only through this class. Times are
 // seconds on the steady clock.
 #ifndef ZINCLEAD_CORE_ATTEMPT_TRACKER_H_
 #define ZINCLEAD_CORE_ATTEMPT_TRACKER_H_
@@ -13,57 +13,62 @@
 
 namespace zinclead::core {
 
+// Owns none of the objects that it is given; they must outlive it. Not thread-safe.
 class AttemptTracker {
  public:
   AttemptTracker(ClusterState* state, RecordQueue* queue, ProgressRecords* progress)
       : state_(*state), queue_(*queue), progress_(*progress) {}
 
+  // The key of the attempt in Machine::attempts.
   static AttemptKey KeyOf(const Attempt& attempt) {
     return {attempt.job->serial, attempt.index, attempt.number};
   }
 
-  // Adds an attempt that holds its allocation on the machine. The task's state does not change
-  // before Activate.
+  // Adds an attempt and allocates its resources on the machine. The task's state changes only with
+  // Activate.
   Attempt* AddAttempt(Machine* machine, Job* job, uint32_t index, uint64_t number, double now);
-  // Makes the attempt the one that counts for its task, which must be pending.
+  // Makes the attempt the active one of its task, which must be pending.
   void Activate(Attempt* attempt);
-  // The task can no longer be on the machine: it has ended there, or the agent epoch has. Does
-  // nothing when repeated.
+  // Releases the resources of an attempt whose task can no longer be on the machine: it has ended
+  // there, or the agent epoch has. Does nothing when repeated.
   void ReleaseAllocation(Attempt* attempt);
-  // Forgets the attempt; its task becomes pending if it was active. Destroys the attempt, and the
-  // job too if that was the last of a finished one.
+  // Removes and destroys the attempt; its task becomes pending if the attempt was its active one.
+  // Destroys the job too if it is finished and this was its last attempt.
   void RemoveAttempt(Attempt* attempt, double now);
-  // Removes all attempts of the machine: none of its tasks can run any more.
-  void DropAllAttempts(Machine* machine, double now);
-  // Makes the task pending again if this attempt is the one that counts for it. `cause`: why it
-  // ended; kNone if it vanished without an end being listed.
+  // Removes all attempts of a machine on which no task can run any more.
+  void RemoveAllAttempts(Machine* machine, double now);
+  // Makes the task pending again if this is its active attempt. `cause`: why the attempt ended;
+  // kNone if no heartbeat listed its end.
   void ReturnTaskToPending(Attempt* attempt, wire::EndCause cause, double now);
-  // Asks for the attempt to be stopped, with `grace_s` to save; the shortest grace asked for holds.
+  // Requests that the attempt is stopped with `grace_s` to save a checkpoint. Of several requests
+  // the shortest grace period holds.
   void StopAttempt(Attempt* attempt, double grace_s, double now);
-  // Stops a task with the time that it needs to save; of a gang, with all others. A gang that can't
-  // be stopped in time runs on: it would lose no less by the stop.
+  // Stops a task with the time that it needs to save a checkpoint. A gang is stopped as a whole, or
+  // keeps running if not all of its tasks can be stopped in time.
   void StopWithCheckpoint(Attempt* attempt, double now);
-  // The attempt's task is done; of a gang, all of them are.
+  // Marks the attempt's task as done; in a gang, all tasks.
   void OnTaskDone(Attempt* attempt, double now);
-  // Stops all attempts of the job, with no time to save.
+  // Stops all attempts of the job without time to save.
   void StopJob(Job* job, double now);
-  // Destroys a job whose end is durable and of which nothing is left on any machine, and keeps its
-  // final state.
+  // Destroys a job whose final state is durable and that has no attempts left, and keeps its final
+  // state.
   void ArchiveJobIfFinished(Job* job);
 
-  // Stops all tasks of the gang, with the time that they need to save if `with_checkpoint`. Their
-  // progress is safe once one of them has ended with it saved.
+  // Stops all tasks of the gang, with the time that they need to save if `with_checkpoint`. The
+  // gang's progress is safe once one of its tasks has ended with its progress saved.
   void StopGang(Job* job, bool with_checkpoint, double now);
-  // A task that an earlier leader started was activated.
+  // Adds the attempt of a task that an earlier leader started to its gang. Called after Activate;
+  // stops the gang if its tasks belong to different attempts.
   void AdoptGangTask(Attempt* attempt, double now);
-  // Whether a stop would reach every task of the gang in time to save: all of them are known, and
-  // their machines send heartbeats as often as they should.
+  // Whether a stop command would reach every task of the gang in time to save: all tasks have
+  // attempts, and their machines send heartbeats on time.
   bool CanStopAllTasks(const Job& job, double now) const;
-  // A heartbeat shows the phase that the attempt now has.
+  // Updates the gang from the attempt's phase, which a heartbeat has just listed.
   void OnGangTaskListed(Attempt* attempt);
-  // Whether the gang's lost tasks may be started again with the number of its attempt.
+  // Whether the gang's lost tasks may be started again with the number of its current attempt.
   static bool MayReplaceLostTasks(const Job& job);
-  // Whether nothing of the gang can be on a machine any more, so that it may start anew.
+  // Whether no task of the gang can be on a machine any more, so that the whole gang may be placed
+  // again.
   static bool GangIsClear(Job* job);
 
  private:
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -8,7 +8,8 @@
 namespace zinclead::core {
 namespace {
 
-// The tasks of services and gangs count together, those of arrays one by one.
+// Whether the job alone fits the team's quota limit. The tasks of services and gangs run at the
+// same time; those of arrays may run one by one.
 bool FitsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
   const double count = spec.kind == wire::JobKind::kArray ? 1 : spec.tasks;
   return (team.cpus_max <= 0 || count * spec.cpus <= team.cpus_max) &&
@@ -23,7 +24,7 @@
     : state_(settings, operator_settings, term, now, wall_now, random_seed, std::move(clock)) {}
 
 SubmitResult Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now) {
-  if (state_.finished.contains(spec.id)) return {SubmitOutcome::kKnown, ""};
+  if (state_.finished_jobs.contains(spec.id)) return {SubmitOutcome::kKnown, ""};
   if (const Job* known = state_.FindJob(spec.id)) {
     return {known->stored ? SubmitOutcome::kKnown : SubmitOutcome::kPendingStore, ""};
   }
@@ -73,7 +74,7 @@
 }
 
 CancelOutcome Cluster::Cancel(const std::string& id) {
-  if (const auto it = state_.finished.find(id); it != state_.finished.end()) {
+  if (const auto it = state_.finished_jobs.find(id); it != state_.finished_jobs.end()) {
     return it->second.state == FinalState::kDone ? CancelOutcome::kDone : CancelOutcome::kCancelled;
   }
   Job* job = state_.FindJob(id);
@@ -84,10 +85,10 @@
   if (!job->stored) return CancelOutcome::kUndecided;
   if (job->final_state == FinalState::kDone) return CancelOutcome::kDone;
   if (job->final_state == FinalState::kCancelled) return CancelOutcome::kCancelled;
-  if (!job->AllDone() && !job->cancel_wanted) {
-    // From now on none of its tasks starts; those that run are stopped once the cancellation is
+  if (!job->AllDone() && !job->cancel_requested) {
+    // From now on no task of the job starts; running ones are stopped when the cancellation is
     // durable.
-    job->cancel_wanted = true;
+    job->cancel_requested = true;
     queue_.Enqueue(JobKey(id), Importance::kUser);
     for (auto& [index, attempt] : job->active) {
       if (attempt->phase == AttemptPhase::kPlaced && !attempt->start_sent) {
@@ -101,7 +102,7 @@
 
 std::optional<Cluster::JobView> Cluster::View(const std::string& id) const {
   JobView view;
-  if (const auto it = state_.finished.find(id); it != state_.finished.end()) {
+  if (const auto it = state_.finished_jobs.find(id); it != state_.finished_jobs.end()) {
     view.phase =
         it->second.state == FinalState::kDone ? wire::JobPhase::kDone : wire::JobPhase::kCancelled;
     view.done = it->second.state == FinalState::kDone ? it->second.tasks : 0;
@@ -146,8 +147,8 @@
     scheduler_.RunSchedulingCycle(now);
   }
   registry_.IssueScaleOut(now, &cloud_actions);
-  state_.next_wake = std::min(now + state_.settings.heartbeat_interval_s / 2,
-                              std::max(state_.retry_at, state_.cycle_rate_limiter.next_at()));
+  state_.next_wake_at = std::min(now + state_.settings.heartbeat_interval_s / 2,
+                                 std::max(state_.retry_at, state_.cycle_rate_limiter.next_at()));
   return cloud_actions;
 }
 
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -1,11 +1,11 @@
-// The leader's interface to the state of one term: joins ClusterState with the classes that decide
-// on it. Pure: no I/O, no clock and no randomness of its own. It is built from the records of the
-// state service when a term begins and destroyed when the term ends. Times are seconds on the
+// The leader's interface to the state of one term: combines ClusterState with the classes that
+// change it. Does no I/O and has no clock or randomness of its own. It is built from the records of
+// the state service when a term begins and destroyed when the term ends. Times are seconds on the
 // steady clock, except for `wall_now`, which is the time of day in seconds. Not thread-safe (see
 // LockedCluster).
 //
-// What must be durable is kept as records. A change queues its record; the service serializes
-// queued records into transactions and calls OnStored when they are durable. Users are told nothing
+// State that must be durable is kept in records. A change queues its record; the service serializes
+// queued records into transactions and calls OnStored when they are durable. Users get no response
 // before that.
 #ifndef ZINCLEAD_CORE_CLUSTER_H_
 #define ZINCLEAD_CORE_CLUSTER_H_
@@ -36,29 +36,33 @@
 
 namespace zinclead::core {
 
+// The result of a submission, or of a repeated one.
 enum class SubmitOutcome {
-  kKnown,          // accepted durably, in this term or an earlier one
-  kAccepted,       // to be answered when its record is durable
-  kPendingStore,   // accepted before, and not durable yet
+  kKnown,          // accepted and durable, in this term or an earlier one
+  kAccepted,       // new; the user gets a response when its record is durable
+  kPendingStore,   // accepted before, but not durable yet
   kUnprocessable,  // can never run
-  kBusy,           // not admitted now
+  kBusy,           // not admitted now; the user should retry later
   kUndecided,      // the machine types are not known yet
 };
 
+// The outcome of a submission, with the reason or the delay for the user.
 struct SubmitResult {
   SubmitOutcome outcome = SubmitOutcome::kUndecided;
   std::string reason;     // kUnprocessable: why, for the user
   int retry_after_s = 0;  // kBusy: when the user should submit again
 };
 
+// The result of a cancellation.
 enum class CancelOutcome {
-  kCancelled,     // durably
-  kDone,          // it was done before
-  kPendingStore,  // to be answered when its record is durable
+  kCancelled,     // the cancellation is durable
+  kDone,          // the job was done before
+  kPendingStore,  // the user gets a response when the record is durable
   kUnknown,       // no such job was accepted
-  kUndecided,     // the job itself is not durable yet
+  kUndecided,     // the job's acceptance is not durable yet
 };
 
+// Decides on the jobs and machines of one term. All times are passed in by the caller.
 class Cluster {
  public:
   Cluster(const config::Settings& settings, const config::OperatorSettings& operator_settings,
@@ -73,10 +77,12 @@
   void FinishLoading(double now) { durable_state_.FinishLoading(now); }
 
   // ---- users ----
+  // Accepts the job, or returns why not. Idempotent: a repeated submission changes nothing.
   SubmitResult Submit(const wire::JobSpec& spec, double now, double wall_now);
+  // Cancels the job. Idempotent.
   CancelOutcome Cancel(const std::string& id);
   using JobView = core::JobView;
-  // nullopt for a job that this term does not know.
+  // The job's state as users may see it; nullopt for a job that this term does not know.
   std::optional<JobView> View(const std::string& id) const;
 
   // ---- workers ----
@@ -87,7 +93,8 @@
     return heartbeats_.OnHeartbeat(heartbeat, now, lease_expired);
   }
 
-  // Every other controller knows this term: none can renew workers' leases for an earlier one.
+  // Every other controller has seen this term, so none can renew workers' leases for an earlier
+  // one.
   void OnEarlierLeadersEnded(double now) { reconciler_.OnEarlierLeadersEnded(now); }
 
   // ---- cloud: see MachineRegistry ----
@@ -108,16 +115,16 @@
   }
 
   // ---- scheduling ----
-  // Runs what is due: the machine rules, a scheduling cycle, scale-out requests. To be called after
-  // changes and at the time that NextWake returns. Returns the calls to make to the cloud; each
-  // must be answered through OnScaleOutAnswered or OnTerminated. `lease_expired`: as for
-  // OnHeartbeat.
+  // Runs whichever of these is due: the machine rules, a scheduling cycle, scale-out requests. To
+  // be called after changes and at the time that NextWake returns. Returns the calls to make to the
+  // cloud; the response to each must be passed to OnScaleOutAnswered or OnTerminated.
+  // `lease_expired`: as for OnHeartbeat.
   CloudActions Schedule(double now, bool lease_expired = false);
-  // A scheduling cycle costs time for each job and machine: when much changes, one serves many
-  // changes.
+  // When Schedule must be called at the latest. The rate of scheduling cycles is limited, so that
+  // one cycle handles many changes.
   double NextWake() const {
-    return state_.schedule_due ? std::min(state_.next_wake, state_.cycle_rate_limiter.next_at())
-                               : state_.next_wake;
+    return state_.schedule_due ? std::min(state_.next_wake_at, state_.cycle_rate_limiter.next_at())
+                               : state_.next_wake_at;
   }
 
   // ---- records: see RecordQueue and DurableState ----
@@ -131,7 +138,7 @@
   void OnStored(const std::string& key, double now) { durable_state_.OnStored(key, now); }
   void Requeue(const std::string& key) { queue_.Requeue(key); }
 
-  // Jobs whose accepted, done or cancelled state became durable since the last call.
+  // The ids of the jobs whose accepted, done or cancelled state became durable since the last call.
   std::vector<std::string> TakeDurableStateChanges();
 
   uint64_t term() const { return state_.term; }
@@ -142,7 +149,8 @@
     return state_.machines;
   }
   size_t PendingTasks() const;
-  // What followers may forward to this leader (see admission::AdmissionPolicy::MakeGrant).
+  // The submissions that followers may forward to this leader (see
+  // admission::AdmissionPolicy::MakeGrant).
   wire::CreditGrant MakeCreditGrant(double now) { return state_.admission.MakeGrant(now); }
   const admission::AdmissionPolicy& admission() const { return state_.admission; }
   // See core::KeepAliveLimit.
@@ -151,9 +159,12 @@
   }
 
  private:
-  // Why the job can never run, for the user; null if it can. Requires that machine types are known.
+  // Why the job can never run, as a message for the user; null if it can. Requires that the machine
+  // types are known.
   const char* WhyUnplaceable(const wire::JobSpec& spec) const;
+  // Whether the zones of the machine types allow all tasks of the gang to run at the same time.
   bool CanRunTogether(const wire::JobSpec& spec) const;
+  // Applies admission control and adds the job if it is admitted.
   SubmitResult Admit(const wire::JobSpec& spec, double now, double wall_now);
 
   ClusterState state_;
--- a/src/core/cluster_state.cc
+++ b/src/core/cluster_state.cc
@@ -8,9 +8,9 @@
 namespace zinclead::core {
 
 double KeepAliveLimit(const config::Settings& settings) {
-  // A cancellation that a newer leader has confirmed to a user must hold cancel_s later on a worker
-  // that only the old leader reaches: its heartbeats are answered until this limit, and then its
-  // lease expires. The 3% cover the clocks' drift and the delay of the last response.
+  // A confirmed cancellation must take effect within cancel_s, also on a worker that only an
+  // earlier leader reaches: that leader responds up to this limit, and one lease later the worker
+  // stops its tasks. The 3% cover clock drift and the delay of the last response.
   return (settings.cancel_s - settings.lease_s) * 0.97;
 }
 
@@ -23,8 +23,8 @@
       admission(admission_limits, now, random_seed),
       term(leader_term),
       started_at(now),
-      earlier_leader_deadline(now + KeepAliveLimit(settings)),
-      wall_offset(wall_now - now),
+      earlier_leader_renewals_until(now + KeepAliveLimit(settings)),
+      wall_clock_offset_s(wall_now - now),
       random(random_seed),
       scale_out_rate_limiter(
           settings.cloud_rps * operator_settings.scale_out_rate_share,
@@ -39,7 +39,7 @@
   job->request = RequestOf(spec);
   job->accepted_ms = accepted_ms;
   job->accepted_at = accepted_at;
-  job->done_chunk = ProgressChunkSize(settings);
+  job->tasks_per_chunk = ProgressChunkSize(settings);
   job->tasks.assign(spec.tasks, TaskState::kPending);
   job->pending = spec.tasks;
   if (spec.kind == wire::JobKind::kGang) {
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -9,13 +9,13 @@
 
 using wire::Json;
 
-// What the field name of the done set and its quotes take in a job's record.
-constexpr size_t kDoneFieldBytes = 16;
+// The bytes of the done set's field name, quotes and separators in a job's record.
+constexpr size_t kDoneFieldOverheadBytes = 16;
 
-// The spec that the record of a cancelled job keeps if the whole does not fit: what may be left of
-// the job on machines, that is its request there, and its team. Without the longest texts the
-// cancellation can be stored whatever the limits are.
-wire::JobSpec Shortened(wire::JobSpec spec) {
+// The spec without its longest texts, for a cancelled job whose record would exceed the limit of a
+// value: the cancellation can then be stored in any case. What is left describes the job's team and
+// resources on machines.
+wire::JobSpec WithoutLongTexts(wire::JobSpec spec) {
   spec.types.reset();
   spec.image.clear();
   spec.job_class.clear();
@@ -26,7 +26,7 @@
 
 bool DurableState::LoadRecord(const std::string& key, const Json& value) {
   if (value == EmptiedRecord()) {
-    queue_.Enqueue(key, Importance::kBackground);  // to be deleted now
+    queue_.Enqueue(key, Importance::kBackground);  // to be deleted now that the term has changed
     return true;
   }
   const RecordKey record = ParseRecordKey(key);
@@ -39,7 +39,7 @@
       return LoadMachineType(value);
     case RecordKind::kProgress:
       if (!value.is_string()) return false;
-      state_.loaded_done[record.id][record.chunk] = value.get<std::string>();
+      state_.loaded_progress[record.id][record.chunk] = value.get<std::string>();
       return true;
     case RecordKind::kForeign:
       return true;
@@ -60,21 +60,21 @@
   if (!value.is_object()) return false;
   const std::string final_state = value.value("final", std::string());
   if (final_state == "done") {
-    state_.finished[id] = {FinalState::kDone, value.value("tasks", 0U)};
+    state_.finished_jobs[id] = {FinalState::kDone, value.value("tasks", 0U)};
     return true;
   }
   const auto spec = wire::JobSpecFromJson(value.value("spec", Json()));
   if (!spec || spec->id != id) return false;
   const int64_t accepted_ms = value.value("accepted_ms", int64_t{0});
   auto job = state_.NewJob(*spec, accepted_ms,
-                           static_cast<double>(accepted_ms) / 1000 - state_.wall_offset);
+                           static_cast<double>(accepted_ms) / 1000 - state_.wall_clock_offset_s);
   job->stored = true;
   job->inherited = true;
-  job->done_chunk = std::max(1U, value.value("chunk", job->done_chunk));
+  job->tasks_per_chunk = std::max(1U, value.value("chunk", job->tasks_per_chunk));
   if (final_state == "cancelled") {
-    // Kept until its tasks have ended: what may be left of it on machines counts for its team.
+    // Kept until its tasks have ended, since those on machines still count for its team.
     job->final_state = FinalState::kCancelled;
-    job->cancel_wanted = true;
+    job->cancel_requested = true;
   } else {
     state_.active_jobs[{job->accepted_ms, id}] = job.get();
     state_.admission.AddActive(job->spec.team);
@@ -97,10 +97,10 @@
   scale_out->phase = ScaleOutPhase::kDurable;
   scale_out->requested_at =
       std::min(state_.started_at, static_cast<double>(value.value("asked_ms", int64_t{0})) / 1000 -
-                                      state_.wall_offset);
+                                      state_.wall_clock_offset_s);
   const auto machines = value.find("machines");
   if (machines != value.end() && machines->is_object()) {
-    scale_out->phase = ScaleOutPhase::kAnswered;
+    scale_out->phase = ScaleOutPhase::kCompleted;
     for (const auto& [id, dispatch_mark] : machines->items()) {
       scale_out->machines[id] = dispatch_mark.is_number_integer() && dispatch_mark.get<int>() == 1;
     }
@@ -115,15 +115,15 @@
     for (auto& [id, dispatchable] : scale_out->machines) {
       Machine* machine = registry_.AddMachine(id, scale_out.get(), now);
       machine->dispatchable = dispatchable;
-      // One that may hold tasks was up once. It must send a heartbeat before anything is placed on
-      // it.
+      // A machine that may hold tasks has been up before. It must send a heartbeat before tasks are
+      // placed on it.
       if (dispatchable) machine->stage = MachineStage::kUp;
     }
   }
   for (auto& [key, job] : state_.active_jobs) {
     if (job->AllDone()) {
       queue_.Enqueue(JobKey(job->spec.id), Importance::kUser);
-    } else if (job->done_chunk > progress_.ChunkSize()) {
+    } else if (job->tasks_per_chunk > progress_.ChunkSize()) {
       progress_.BeginChunkSplit(job);
     }
   }
@@ -132,50 +132,51 @@
 }
 
 void DurableState::ApplyLoadedProgress() {
-  for (auto& [id, chunks] : state_.loaded_done) {
+  for (auto& [id, chunks] : state_.loaded_progress) {
     Job* job = state_.FindJob(id);
     for (auto& [chunk, text] : chunks) {
       if (job != nullptr && job->final_state == FinalState::kNone) {
-        progress_.ApplyDone(job, chunk * job->done_chunk, text);
+        progress_.ApplyDone(job, chunk * job->tasks_per_chunk, text);
       } else {
-        queue_.Enqueue(ProgressKey(id, chunk), Importance::kBackground);  // left over: delete it
+        queue_.Enqueue(ProgressKey(id, chunk), Importance::kBackground);  // to be deleted
       }
     }
   }
-  state_.loaded_done.clear();
+  state_.loaded_progress.clear();
 }
 
 Json DurableState::SerializeJob(const std::string& key, Job* job) {
   InFlightWrite& in_flight = queue_.BeginWrite(key);
   if (job->final_state == FinalState::kDone ||
-      (job->AllDone() && job->final_state == FinalState::kNone && !job->cancel_wanted)) {
+      (job->AllDone() && job->final_state == FinalState::kNone && !job->cancel_requested)) {
     in_flight.final_state = FinalState::kDone;
     return {{"final", "done"}, {"tasks", job->spec.tasks}};
   }
   Json json{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
-  if (job->cancel_wanted) {
+  if (job->cancel_requested) {
     in_flight.final_state = FinalState::kCancelled;
     json["final"] = "cancelled";
     if (json.dump().size() > state_.settings.ValueBytes()) {
-      json["spec"] = wire::ToJson(Shortened(job->spec));
+      json["spec"] = wire::ToJson(WithoutLongTexts(job->spec));
     }
     return json;
   }
-  in_flight.chunk = job->done_chunk;
-  if (job->chunk_split == ChunkSplit::kCollapsing) in_flight.chunk = job->spec.tasks;
-  if (job->chunk_split == ChunkSplit::kSwitching) in_flight.chunk = progress_.ChunkSize();
-  json["chunk"] = in_flight.chunk;
-  const size_t size = json.dump().size() + kDoneFieldBytes;
+  in_flight.tasks_per_chunk = job->tasks_per_chunk;
+  if (job->chunk_split == ChunkSplit::kCollapsing) in_flight.tasks_per_chunk = job->spec.tasks;
+  if (job->chunk_split == ChunkSplit::kSwitching) in_flight.tasks_per_chunk = progress_.ChunkSize();
+  json["chunk"] = in_flight.tasks_per_chunk;
+  const size_t size = json.dump().size() + kDoneFieldOverheadBytes;
   const size_t value_bytes = state_.settings.ValueBytes();
-  const std::string done = progress_.SerializeDoneSet(
-      *job, 0, in_flight.chunk, value_bytes - std::min(size, value_bytes), &in_flight.done);
+  const std::string done =
+      progress_.SerializeDoneSet(*job, 0, in_flight.tasks_per_chunk,
+                                 value_bytes - std::min(size, value_bytes), &in_flight.done);
   if (!done.empty()) json["done"] = done;
   return json;
 }
 
 Json DurableState::SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out) {
-  const auto asked_ms =
-      static_cast<int64_t>(std::llround((scale_out.requested_at + state_.wall_offset) * 1000));
+  const auto asked_ms = static_cast<int64_t>(
+      std::llround((scale_out.requested_at + state_.wall_clock_offset_s) * 1000));
   Json json{{"type", scale_out.type},
             {"zone", scale_out.zone},
             {"spot", scale_out.spot},
@@ -200,7 +201,7 @@
   switch (record.kind) {
     case RecordKind::kJob: {
       Job* job = state_.FindJob(record.id);
-      if (job == nullptr) return std::nullopt;  // jobs are not archived while they are queued
+      if (job == nullptr) return std::nullopt;  // queued jobs are not archived
       return SerializeJob(key, job);
     }
     case RecordKind::kScaleOut: {
@@ -248,9 +249,9 @@
   state_.admission.OnStored(job->spec.id, now);
   state_.durable_state_changes.push_back(job->spec.id);
   if (in_flight.final_state == FinalState::kNone) {
-    progress_.OnJobRecordStored(job, in_flight.chunk);
+    progress_.OnJobRecordStored(job, in_flight.tasks_per_chunk);
   } else if (job->final_state == FinalState::kNone) {
-    Finalize(job, in_flight.final_state, now);
+    OnFinalStateStored(job, in_flight.final_state, now);
   }
 }
 
@@ -262,7 +263,7 @@
   scale_out->OnStored();
   for (const std::string& id : dispatch_marks) {
     Machine* machine = state_.FindMachine(id);
-    if (machine == nullptr || machine->record != name) continue;
+    if (machine == nullptr || machine->record_name != name) continue;
     scale_out->machines[id] = true;
     machine->dispatchable = true;
   }
@@ -271,7 +272,7 @@
   }
 }
 
-void DurableState::Finalize(Job* job, FinalState state, double now) {
+void DurableState::OnFinalStateStored(Job* job, FinalState state, double now) {
   job->final_state = state;
   if (state_.active_jobs.erase({job->accepted_ms, job->spec.id}) > 0) {
     state_.admission.OnEnded(job->spec.team);
@@ -280,7 +281,8 @@
     for (TaskState& task : job->tasks) task = TaskState::kDone;
     job->done_stored = job->spec.tasks;
   }
-  // Nothing of a finished job may run on: duplicates of a done job's tasks, all of a cancelled one.
+  // No task of a finished job may keep running: neither duplicates in a done job nor any task of a
+  // cancelled one.
   attempts_.StopJob(job, now);
   progress_.DeleteChunks(*job);
   attempts_.ArchiveJobIfFinished(job);
--- a/src/core/durable_state.h
+++ b/src/core/durable_state.h
@@ -1,5 +1,5 @@
-// Maps the cluster's state to the records of the state service: loading them when a term begins,
-// serializing what has changed, and applying what became durable.
+// Maps the cluster's state to the records in the state service: loads them when a term begins,
+// serializes changes, and updates the state when a write has become durable.
 #ifndef ZINCLEAD_CORE_DURABLE_STATE_H_
 #define ZINCLEAD_CORE_DURABLE_STATE_H_
 
@@ -17,6 +17,7 @@
 
 namespace zinclead::core {
 
+// Owns none of the objects that it is given; they must outlive it. Not thread-safe.
 class DurableState {
  public:
   DurableState(ClusterState* state, RecordQueue* queue, ProgressRecords* progress,
@@ -28,15 +29,15 @@
         registry_(*registry),
         reconciler_(*reconciler) {}
 
-  // Loads one stored record; every one, then FinishLoading, once a term. Returns false for a record
-  // that can't be understood.
+  // Loads one stored record. To be called for every record at the start of a term, before
+  // FinishLoading. Returns false for a malformed record.
   bool LoadRecord(const std::string& key, const wire::Json& value);
-  // `now`: seconds on the steady clock.
+  // Completes the loading, once after all records. `now`: seconds on the steady clock.
   void FinishLoading(double now);
-  // The record's value as it should be stored now; nullopt if the key should not exist. What the
-  // value covers is kept in the record queue until OnStored or RecordQueue::Requeue.
+  // Returns the value to store for the key, or nullopt if the key is to be deleted. Which changes
+  // the value contains is kept in the record queue until OnStored or RecordQueue::Requeue.
   std::optional<wire::Json> Serialize(const std::string& key);
-  // The value that Serialize returned last for the key became durable.
+  // The value that Serialize returned last for the key has become durable.
   void OnStored(const std::string& key, double now);
 
  private:
@@ -48,8 +49,8 @@
   wire::Json SerializeScaleOut(const std::string& key, const ScaleOutRecord& scale_out);
   void OnJobStored(Job* job, const InFlightWrite& in_flight, double now);
   void OnScaleOutStored(const std::string& name, const std::vector<std::string>& dispatch_marks);
-  // The job's end became durable.
-  void Finalize(Job* job, FinalState state, double now);
+  // Ends a job whose final state has become durable.
+  void OnFinalStateStored(Job* job, FinalState state, double now);
 
   ClusterState& state_;
   RecordQueue& queue_;
--- a/src/core/failover_reconciler.cc
+++ b/src/core/failover_reconciler.cc
@@ -21,9 +21,9 @@
 }
 
 void FailoverReconciler::OnEarlierLeadersEnded(double now) {
-  if (now >= state_.earlier_leader_deadline) return;
-  state_.earlier_leader_deadline = now;
-  state_.next_wake = now;
+  if (now >= state_.earlier_leader_renewals_until) return;
+  state_.earlier_leader_renewals_until = now;
+  state_.next_wake_at = now;
 }
 
 }  // namespace zinclead::core
--- a/src/core/failover_reconciler.h
+++ b/src/core/failover_reconciler.h
@@ -1,6 +1,6 @@
-// Decides when a new leader has reconciled the stored records with what the machines hold: until
+// Decides when a new leader has reconciled the stored records with the tasks on the machines. Until
 // every machine that may hold tasks of earlier terms has acknowledged this term, or can run none
-// any more, a task that no heartbeat has listed may still run somewhere. Times are seconds on the
+// any more, a task that no heartbeat has listed may still be running. Times are seconds on the
 // steady clock.
 #ifndef ZINCLEAD_CORE_FAILOVER_RECONCILER_H_
 #define ZINCLEAD_CORE_FAILOVER_RECONCILER_H_
@@ -10,15 +10,17 @@
 
 namespace zinclead::core {
 
+// Owns none of the objects that it is given; they must outlive it. Not thread-safe.
 class FailoverReconciler {
  public:
   FailoverReconciler(ClusterState* state, AttemptTracker* attempts)
       : state_(*state), attempts_(*attempts) {}
 
-  // Ends the failover if it is complete. To be called when a machine acknowledges the term, expires
+  // Marks the state as reconciled if no machine may hold unknown tasks any more, and archives the
+  // finished jobs that waited for this. To be called when a machine acknowledges the term, expires
   // or is removed.
   void CheckReconciled();
-  // No earlier leader can renew workers' leases any more.
+  // From `now` on no earlier leader can renew workers' leases.
   void OnEarlierLeadersEnded(double now);
 
  private:
--- a/src/core/heartbeat_handler.cc
+++ b/src/core/heartbeat_handler.cc
@@ -7,16 +7,16 @@
 namespace zinclead::core {
 namespace {
 
-// A machine on which the tasks of this many jobs failed is faulty.
-constexpr size_t kFaultyMachineThreshold = 2;
+// A machine counts as faulty when tasks of this many jobs have failed on it.
+constexpr size_t kFaultyMachineMinFailedJobs = 2;
 
-// A job that fails on every machine is retried after at most this many doublings of the retry
-// interval: the machines may be at fault all the same, and no job may wait 90 s beside free
-// capacity.
-constexpr int kMaxFaultDoublings = 3;
+// The retry interval of a faulty job doubles at most this often: no job may wait 90 s while there
+// is free capacity.
+constexpr int kMaxFaultyJobBackoffDoublings = 3;
 
-// A response is in flight for this share of a heartbeat interval before its effect can be missed.
-constexpr double kResponseDelayShare = 0.1;
+// Within this part of a heartbeat interval a response may still be in flight, so that a heartbeat
+// can't show whether the worker received it.
+constexpr double kMaxResponseDelayIntervalShare = 0.1;
 
 AttemptPhase PhaseOf(wire::TaskPhase phase) {
   switch (phase) {
@@ -44,7 +44,7 @@
   return result;
 }
 
-bool Lists(const wire::Heartbeat& heartbeat, const Attempt& attempt) {
+bool HeartbeatLists(const wire::Heartbeat& heartbeat, const Attempt& attempt) {
   return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                      [&](const wire::TaskStatus& task) {
                        return task.attempt == attempt.number && task.task.index == attempt.index &&
@@ -56,15 +56,16 @@
 
 HeartbeatResult HeartbeatHandler::OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
                                               bool lease_expired) {
-  // Of a terminated machine only delayed messages arrive.
-  if (state_.terminated.contains(heartbeat.machine)) return Rejected();
+  // Only delayed messages can arrive from a terminated machine.
+  if (state_.terminated_machines.contains(heartbeat.machine)) return Rejected();
   Machine* machine = state_.FindMachine(heartbeat.machine);
   if (machine == nullptr) {
-    // The records name every machine that can hold a task. One that they don't name and that lists
-    // tasks was terminated, maybe by an earlier leader: this is a delayed copy of its heartbeat.
+    // The records name every machine that may hold a task. A machine that is not named but lists
+    // tasks was terminated, perhaps by an earlier leader: this is a delayed copy of a heartbeat.
     if (!heartbeat.tasks.empty()) return Rejected();
-    // Such a copy may also list nothing. Only what shows this term was surely sent in it: until
-    // then the machine gets a response, so that it learns the term, and is not adopted.
+    // A delayed copy may also list no tasks. Only a heartbeat with this term's fencing token is
+    // certain to be recent. A machine without it gets a response, which carries the token, but is
+    // not adopted yet.
     if (heartbeat.fencing_token < state_.term) return {};
     machine = registry_.AdoptMachine(heartbeat.machine, heartbeat.type, heartbeat.zone,
                                      heartbeat.spot, now);
@@ -73,34 +74,34 @@
 
   const bool new_epoch = machine->agent_epoch != 0 && heartbeat.agent_epoch > machine->agent_epoch;
   DetectDownlinkLoss(machine, heartbeat, new_epoch, now);
-  // In a new epoch the worker has killed all tasks of the one before.
-  if (new_epoch) attempts_.DropAllAttempts(machine, now);
+  // At the start of a new agent epoch the worker has killed all tasks of the previous one.
+  if (new_epoch) attempts_.RemoveAllAttempts(machine, now);
   machine->agent_epoch = heartbeat.agent_epoch;
   machine->sequence = heartbeat.sequence;
-  // No response reaches it, so none may seem to renew its lease, and a new epoch does not mend
-  // that. It is being terminated.
+  // Responses do not reach this machine, in a new agent epoch either. Its lease must not seem to be
+  // renewed while the machine is being terminated.
   if (machine->downlink_lost) return Rejected();
 
   HeartbeatResult result;
   UpdateMachine(machine, heartbeat, now);
   ReconcileTasks(machine, heartbeat, now, &result.commands);
-  if (!lease_expired) AcknowledgeTerm(machine, heartbeat);
-  RevokeUndelivered(machine, now);
-  if (!lease_expired) ScheduleOn(machine, now);
+  if (!lease_expired) RecordTermAcknowledgement(machine, heartbeat);
+  RemoveUndeliveredAttempts(machine, now);
+  if (!lease_expired) ScheduleOnMachine(machine, now);
   AppendCommands(machine, lease_expired, &result.commands);
   return result;
 }
 
 bool HeartbeatHandler::IsStale(const Machine& machine, const wire::Heartbeat& heartbeat) const {
-  // Delayed or repeated. Its worker no longer waits for a response to it.
+  // A delayed or repeated heartbeat; the worker no longer waits for its response.
   if (heartbeat.agent_epoch < machine.agent_epoch) return true;
   const bool same_epoch = heartbeat.agent_epoch == machine.agent_epoch;
   if (same_epoch && heartbeat.sequence <= machine.sequence) return true;
-  // A worker keeps the highest fencing token it has seen. So this is a delayed copy from before the
-  // machine restarted with its counters reset, and tells nothing of what is on it now; or the
-  // machine has lost the term, may be commanded by an earlier leader, and is better replaced.
+  // A worker keeps the highest fencing token that it has seen. A lower one means a delayed copy
+  // from before the machine restarted and reset its counters, or a machine that has lost the term.
+  // An earlier leader may command such a machine, so it is left to expire and be replaced.
   if (machine.acknowledged && heartbeat.fencing_token < state_.term) return true;
-  // Its epoch has provably ended and its tasks may run elsewhere: never renew it.
+  // The agent epoch has expired and its tasks may run elsewhere: its lease must never be renewed.
   return same_epoch && machine.epoch_expired;
 }
 
@@ -115,12 +116,13 @@
     state_.schedule_due = true;
   }
   if (!machine->dispatchable && !machine->dispatchable_requested && !machine->Terminating()) {
-    // The record must say that tasks may be here before the first one is sent.
+    // The record must mark the machine as dispatchable before the first task is sent to it, or a
+    // new leader would not wait for its tasks.
     machine->dispatchable_requested = true;
-    queue_.Enqueue(ScaleOutKey(machine->record), Importance::kUser);
+    queue_.Enqueue(ScaleOutKey(machine->record_name), Importance::kUser);
   }
   if (heartbeat.notice_s) {
-    machine->notice_at = now + *heartbeat.notice_s;
+    machine->reclaim_at = now + *heartbeat.notice_s;
     if (machine->Schedulable()) {
       machine->Cordon();
       state_.schedule_due = true;
@@ -136,30 +138,31 @@
   }
   std::vector<Attempt*> vanished;
   for (auto& [key, attempt] : machine->attempts) {
-    if (attempt->listed_in_heartbeat == state_.heartbeat_count) continue;
-    // Listed before: its completion was acknowledged, or it was lost. Never listed: if a start was
-    // in the response to an earlier heartbeat, the worker dropped that response for good, so a stop
-    // is complete at once.
+    if (attempt->last_listed_heartbeat == state_.heartbeat_count) continue;
+    // A listed attempt that is missing now was acknowledged as completed, or was lost. An attempt
+    // that was never listed and is to be stopped will never run: if the response to an earlier
+    // heartbeat contained its start, the worker has discarded that response.
     if (attempt->listed || attempt->stop) vanished.push_back(attempt.get());
   }
   for (Attempt* attempt : vanished) attempts_.RemoveAttempt(attempt, now);
 }
 
-void HeartbeatHandler::AcknowledgeTerm(Machine* machine, const wire::Heartbeat& heartbeat) {
+void HeartbeatHandler::RecordTermAcknowledgement(Machine* machine,
+                                                 const wire::Heartbeat& heartbeat) {
   if (heartbeat.fencing_token < state_.term || machine->acknowledged) return;
   machine->acknowledged = true;
   state_.schedule_due = true;
   reconciler_.CheckReconciled();
 }
 
-void HeartbeatHandler::ScheduleOn(Machine* machine, double now) {
-  // A start waits for the heartbeat of its machine, up to the longest heartbeat interval. What
-  // waits for another machine's is started here if this one suits as well.
+void HeartbeatHandler::ScheduleOnMachine(Machine* machine, double now) {
+  // A start command waits for the next heartbeat of its machine. Services that still wait for
+  // another machine's heartbeat are moved here if this machine suits them too.
   if (!state_.unsent_services.empty() && machine->Usable()) {
     scheduler_.StealUnsentServices(machine, now);
   }
 
-  // Freed capacity is used in this very response rather than in the next one.
+  // Uses freed capacity in this response instead of the next one.
   if (!state_.schedule_due || !machine->Usable()) return;
   if (now >= state_.cycle_rate_limiter.next_at()) {
     scheduler_.RunSchedulingCycle(now);
@@ -180,10 +183,9 @@
         commands->push_back(CommandFor(wire::CommandOp::kStop, *attempt, attempt->grace_s));
       }
     } else if (attempt->phase == AttemptPhase::kPlaced && !lease_expired && attempt->job->Live()) {
-      // What ends with the leader's lease is the right to start, not the duty to keep the workers'
-      // leases alive: a newer leader may have told a user that the job is cancelled, and from then
-      // on none of its tasks may start. Nor is a start repeated while the cancellation is being
-      // stored.
+      // A leader whose lease has expired still renews workers' leases but sends no starts: a newer
+      // leader may have confirmed a cancellation to a user, after which no task of the job may
+      // start. For the same reason no start is repeated while a cancellation is being stored.
       attempt->start_sent = true;
       state_.unsent_services.erase(AttemptTracker::KeyOf(*attempt));
       commands->push_back(CommandFor(wire::CommandOp::kStart, *attempt));
@@ -191,52 +193,52 @@
   }
 }
 
-// A machine that lost its downlink goes on sending heartbeats, in a new epoch after each lease. It
-// would be sent starts for ever, never list them, and hold up a failover, since it never shows the
-// term. So a heartbeat alone is no sign of life: one that shows nothing of what earlier responses
-// said counts against its machine. MachineLifecycle terminates such machines, unless they are so
-// many that the fault must be the leader's.
+// A machine that has lost its downlink keeps sending heartbeats, in a new agent epoch after each
+// lease, but never executes a command or acknowledges the term, which would block a failover
+// forever. Heartbeats that show no effect of earlier responses are therefore counted; see
+// MachineLifecycle::TerminateIfUnreachable.
 void HeartbeatHandler::DetectDownlinkLoss(Machine* machine, const wire::Heartbeat& heartbeat,
                                           bool new_epoch, double now) {
-  switch (DeliveryShownBy(heartbeat, *machine, new_epoch, now)) {
-    case Delivery::kAcknowledged:
+  switch (InferResponseDelivery(heartbeat, *machine, new_epoch, now)) {
+    case ResponseDelivery::kAcknowledged:
       machine->unacknowledged_responses = 0;
       break;
-    case Delivery::kMissed:
-      if (machine->unacknowledged_responses++ == 0) machine->unacknowledged_since = now;
+    case ResponseDelivery::kMissed:
+      if (machine->unacknowledged_responses++ == 0) machine->first_unacknowledged_at = now;
       machine->last_unacknowledged_at = now;
       break;
-    case Delivery::kUnknown:
+    case ResponseDelivery::kUnknown:
       break;
   }
 }
 
-HeartbeatHandler::Delivery HeartbeatHandler::DeliveryShownBy(const wire::Heartbeat& heartbeat,
-                                                             const Machine& machine, bool new_epoch,
-                                                             double now) const {
+HeartbeatHandler::ResponseDelivery HeartbeatHandler::InferResponseDelivery(
+    const wire::Heartbeat& heartbeat, const Machine& machine, bool new_epoch, double now) const {
   const double since_last_s = now - machine.last_heartbeat_at;
   if (machine.agent_epoch == 0 ||
-      since_last_s < kResponseDelayShare * state_.settings.heartbeat_interval_s) {
-    return Delivery::kUnknown;
+      since_last_s < kMaxResponseDelayIntervalShare * state_.settings.heartbeat_interval_s) {
+    return ResponseDelivery::kUnknown;
   }
   if (new_epoch) {
-    // Its epoch ended although its heartbeats were answered.
-    return since_last_s < state_.settings.lease_s ? Delivery::kMissed : Delivery::kUnknown;
+    // The last response came within the lease and would have renewed it.
+    return since_last_s < state_.settings.lease_s ? ResponseDelivery::kMissed
+                                                  : ResponseDelivery::kUnknown;
   }
-  if (heartbeat.fencing_token < state_.term) return Delivery::kMissed;
-  if (!machine.acknowledged) return Delivery::kAcknowledged;
+  if (heartbeat.fencing_token < state_.term) return ResponseDelivery::kMissed;
+  if (!machine.acknowledged) return ResponseDelivery::kAcknowledged;
   bool missed = false;
   for (const auto& [key, attempt] : machine.attempts) {
     if (!attempt->start_sent || attempt->listed) continue;
-    if (Lists(heartbeat, *attempt)) return Delivery::kAcknowledged;
+    if (HeartbeatLists(heartbeat, *attempt)) return ResponseDelivery::kAcknowledged;
     missed = true;
   }
-  return missed ? Delivery::kMissed : Delivery::kUnknown;
+  return missed ? ResponseDelivery::kMissed : ResponseDelivery::kUnknown;
 }
 
-// What was sent to a machine that seems to receive nothing, and that its later heartbeats don't
-// list, was not executed and never will be: it need not wait there for the end of its lease.
-void HeartbeatHandler::RevokeUndelivered(Machine* machine, double now) {
+// If responses seem not to reach the machine, a start that was sent and whose attempt later
+// heartbeats do not list was not executed and never will be. The task need not wait for the
+// machine's lease to expire.
+void HeartbeatHandler::RemoveUndeliveredAttempts(Machine* machine, double now) {
   if (machine->ReceivesCommands()) return;
   std::vector<Attempt*> undelivered;
   for (auto& [key, attempt] : machine->attempts) {
@@ -252,9 +254,10 @@
   Job* job = state_.FindJob(listed.task.job);
   const bool ended = listed.phase == wire::TaskPhase::kEnded;
   if (job == nullptr || listed.task.index >= job->spec.tasks) {
-    // Finished, or never accepted: accepted jobs are stored before any of their tasks starts. It
-    // counts for no team, and need not: until the machine acknowledges the term teams with a limit
-    // wait, and the response that brings it the term brings this stop.
+    // The job is finished, or was never accepted (accepted jobs are stored before any of their
+    // tasks starts). The task is not counted for a team: jobs of teams with a limit wait until the
+    // machine has acknowledged the term, and the response that carries the term also stops this
+    // task.
     commands->push_back({ended ? wire::CommandOp::kAcknowledgeCompletion : wire::CommandOp::kStop,
                          listed.task, listed.attempt, 0});
     return;
@@ -263,7 +266,7 @@
   Attempt* attempt = known != machine->attempts.end() ? known->second.get()
                                                       : AddListedAttempt(machine, job, listed, now);
   attempt->listed = true;
-  attempt->listed_in_heartbeat = state_.heartbeat_count;
+  attempt->last_listed_heartbeat = state_.heartbeat_count;
   if (attempt->phase == AttemptPhase::kEnded) return;
   if (ended) {
     OnTaskEnded(attempt, listed.cause, now);
@@ -274,8 +277,8 @@
 
 Attempt* HeartbeatHandler::AddListedAttempt(Machine* machine, Job* job,
                                             const wire::TaskStatus& listed, double now) {
-  // What earlier terms started here is adopted until the worker has seen this term: from then on
-  // only this leader starts anything here.
+  // Tasks that earlier terms started are adopted until the worker has seen this term. After that
+  // only this leader starts tasks on the machine.
   const bool may_adopt = !machine->acknowledged;
   Attempt* attempt = attempts_.AddAttempt(machine, job, listed.task.index, listed.attempt, now);
   if (listed.phase == wire::TaskPhase::kEnded) return attempt;
@@ -283,7 +286,8 @@
     attempts_.Activate(attempt);
     if (job->gang) attempts_.AdoptGangTask(attempt, now);
   } else {
-    // A duplicate: the task is done, or another attempt counts for it.
+    // A duplicate, or a task that no longer needs to run: the job has ended, the task is done, or
+    // another attempt is active for it.
     attempts_.StopAttempt(attempt, 0, now);
   }
   return attempt;
@@ -329,7 +333,7 @@
       break;
     case wire::EndCause::kInsufficientCapacity:
     case wire::EndCause::kConflict:
-      // Something is on the machine that the leader does not count; the next heartbeats will tell.
+      // The machine holds a task that the leader has not counted; the next heartbeats list it.
       machine->full_until = now + state_.settings.heartbeat_interval_s;
       break;
     case wire::EndCause::kUnknownTask:
@@ -344,20 +348,21 @@
   job->failed_on[machine->id] = now;
   machine->failed_jobs.insert(job->spec.id);
   if (job->failed_on.size() >= kFaultyJobThreshold) {
-    // A mistake in the job: it fails everywhere. It backs off, and no machine is blamed for it.
-    const int doublings = std::min<int>(
-        static_cast<int>(job->failed_on.size() - kFaultyJobThreshold), kMaxFaultDoublings);
+    // The job fails on every machine, so it is at fault: it backs off, and no machine is blamed.
+    const int doublings =
+        std::min<int>(static_cast<int>(job->failed_on.size() - kFaultyJobThreshold),
+                      kMaxFaultyJobBackoffDoublings);
     job->not_before = now + state_.operator_settings.retry_s * std::pow(2.0, doublings);
     for (auto& [id, other] : state_.machines) other->failed_jobs.erase(job->spec.id);
     return;
   }
-  if (machine->failed_jobs.size() >= kFaultyMachineThreshold) {
-    lifecycle_.CordonAndStop(machine, now);
+  if (machine->failed_jobs.size() >= kFaultyMachineMinFailedJobs) {
+    lifecycle_.CordonAndStopTasks(machine, now);
   }
 }
 
-// A completion is acknowledged only when it is durable: until then the worker's list is what a new
-// leader learns it from.
+// A completion is acknowledged only when it is durable: until then a new leader can learn of it
+// only from the worker's heartbeats.
 bool HeartbeatHandler::MayAcknowledgeCompletion(const Attempt& attempt) const {
   if (attempt.cause != wire::EndCause::kDone) return true;
   const Job& job = *attempt.job;
--- a/src/core/heartbeat_handler.h
+++ b/src/core/heartbeat_handler.h
@@ -1,6 +1,5 @@
-// Handles workers' heartbeats: reconciles what the leader knows of a machine and its tasks with
-// what the heartbeat shows, and decides the commands in the response. Times are seconds on the
-// steady clock.
+// Handles workers' heartbeats: updates the leader's state of a machine and its tasks from the
+// heartbeat, and determines the commands in the response. Times are seconds on the steady clock.
 #ifndef ZINCLEAD_CORE_HEARTBEAT_HANDLER_H_
 #define ZINCLEAD_CORE_HEARTBEAT_HANDLER_H_
 
@@ -17,11 +16,13 @@
 
 namespace zinclead::core {
 
+// The response to a heartbeat.
 struct HeartbeatResult {
-  bool reject = false;  // respond with 503: this heartbeat must not renew the worker's lease
+  bool reject = false;  // respond with 503; the worker's lease is not renewed
   std::vector<wire::Command> commands;
 };
 
+// Owns none of the objects that it is given; they must outlive it. Not thread-safe.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(ClusterState* state, RecordQueue* queue, AttemptTracker* attempts,
@@ -35,44 +36,49 @@
         reconciler_(*reconciler),
         scheduler_(*scheduler) {}
 
-  // Requires that the caller may renew workers' leases (see election::Elector). `lease_expired`:
-  // the leader's own lease may have ended, so a newer leader may exist. Such a leader keeps alive
-  // what runs, but starts nothing and takes no acknowledgement of its term: a machine that
-  // restarted without its fencing token may have followed a newer leader, which no longer waits for
-  // it.
+  // Processes one heartbeat. Requires that the caller may renew workers' leases (see
+  // election::Elector). `lease_expired`: the leader's own lease may have expired, so a newer leader
+  // may exist. The leader then keeps running tasks alive, but starts none and does not record that
+  // a machine has acknowledged its term: a machine that restarted without its fencing token may
+  // already follow a newer leader, which no longer waits for that machine.
   HeartbeatResult OnHeartbeat(const wire::Heartbeat& heartbeat, double now, bool lease_expired);
 
  private:
-  // What a heartbeat shows of the responses to earlier ones.
-  enum class Delivery { kUnknown, kAcknowledged, kMissed };
+  // Whether a heartbeat shows that the worker received the responses to earlier heartbeats.
+  enum class ResponseDelivery { kUnknown, kAcknowledged, kMissed };
 
-  // Whether the heartbeat must be ignored: it is older than one already handled, or of an epoch
-  // that has ended.
+  // Whether the heartbeat must be rejected: a later one was handled already, its agent epoch has
+  // ended, or its fencing token is too low.
   bool IsStale(const Machine& machine, const wire::Heartbeat& heartbeat) const;
   void UpdateMachine(Machine* machine, const wire::Heartbeat& heartbeat, double now);
 
-  // Brings the machine's attempts in line with the tasks that the heartbeat lists. Appends commands
-  // for tasks of which this leader keeps no attempt.
+  // Updates the machine's attempts from the tasks that the heartbeat lists. Appends a command for
+  // each listed task that belongs to no known job.
   void ReconcileTasks(Machine* machine, const wire::Heartbeat& heartbeat, double now,
                       std::vector<wire::Command>* commands);
   void ReconcileTaskStatus(Machine* machine, const wire::TaskStatus& listed, double now,
                            std::vector<wire::Command>* commands);
-  // Adds an attempt that only the worker knew: adopted if it may go on, else told to stop.
+  // Adds an attempt that the heartbeat lists and the leader does not know. The attempt is adopted
+  // if the task may run, and stopped otherwise.
   Attempt* AddListedAttempt(Machine* machine, Job* job, const wire::TaskStatus& listed, double now);
   void UpdatePhase(Attempt* attempt, AttemptPhase phase, double now);
   void OnTaskEnded(Attempt* attempt, wire::EndCause cause, double now);
+  // Makes the job back off if it fails on many machines, and cordons the machine if many jobs fail
+  // on it.
   void OnTaskError(Machine* machine, Job* job, double now);
 
-  // Notes that the worker has seen this term, if the heartbeat shows it.
-  void AcknowledgeTerm(Machine* machine, const wire::Heartbeat& heartbeat);
+  // Records that the worker has seen this term, if the heartbeat carries its fencing token.
+  void RecordTermAcknowledgement(Machine* machine, const wire::Heartbeat& heartbeat);
+  // Counts the responses in a row that the machine has not received.
   void DetectDownlinkLoss(Machine* machine, const wire::Heartbeat& heartbeat, bool new_epoch,
                           double now);
-  Delivery DeliveryShownBy(const wire::Heartbeat& heartbeat, const Machine& machine, bool new_epoch,
-                           double now) const;
-  void RevokeUndelivered(Machine* machine, double now);
+  ResponseDelivery InferResponseDelivery(const wire::Heartbeat& heartbeat, const Machine& machine,
+                                         bool new_epoch, double now) const;
+  // Removes the attempts whose start command the machine has never received.
+  void RemoveUndeliveredAttempts(Machine* machine, double now);
 
-  // Places work on the machine, so that the response already carries its start.
-  void ScheduleOn(Machine* machine, double now);
+  // Places tasks on the machine, so that the response to this heartbeat already starts them.
+  void ScheduleOnMachine(Machine* machine, double now);
   void AppendCommands(Machine* machine, bool lease_expired, std::vector<wire::Command>* commands);
   bool MayAcknowledgeCompletion(const Attempt& attempt) const;
 
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -1,5 +1,5 @@
-// A job as the leader sees it: its description, the state of its tasks and their attempts. Times
-// are seconds on the steady clock.
+// The leader's state of a job: its description, its tasks and their attempts. Times are seconds on
+// the steady clock.
 #ifndef ZINCLEAD_CORE_JOB_H_
 #define ZINCLEAD_CORE_JOB_H_
 
@@ -19,53 +19,58 @@
 
 namespace zinclead::core {
 
-// A job whose tasks failed on this many machines is at fault itself; until then the machines are.
+// A job counts as faulty when its tasks have failed on this many machines; with fewer, the machines
+// are blamed.
 inline constexpr size_t kFaultyJobThreshold = 3;
 
-// kDoneUnstored: completed, but a new leader would not know it from the store yet.
+// kActive: an attempt of the task counts as the current one. kDoneUnstored: completed, but the
+// completion is not durable yet.
 enum class TaskState : uint8_t { kPending, kActive, kDoneUnstored, kDone };
+// How a job has ended.
 enum class FinalState : uint8_t { kNone, kDone, kCancelled };
 
-// Splits the progress of a job that another version stored in chunks too large for the limits that
-// hold now. Every state in between is one that every version reads without losing progress:
-// kCollapsing stores all of it in the job's record, with a chunk that covers the whole job, so that
-// other chunk records mean nothing; kWritingChunks stores the smaller chunks beside it; kSwitching
-// stores the job's record with the smaller chunk size.
+// The steps of splitting a job's progress into smaller chunks, when another version stored chunks
+// that are too large for the current limits. Every version can read each step without losing
+// progress: kCollapsing stores all progress in the job's record, as one chunk that covers the whole
+// job, so that other chunk records are ignored; kWritingChunks stores the smaller chunks beside it;
+// kSwitching stores the job's record with the smaller chunk size.
 enum class ChunkSplit : uint8_t { kNone, kCollapsing, kWritingChunks, kSwitching };
 
+// Owned by ClusterState::jobs. Not thread-safe.
 struct Job {
-  uint64_t serial = 0;  // in the order in which this term accepted or loaded it
+  uint64_t serial = 0;  // in the order in which this term accepted or loaded the jobs
   wire::JobSpec spec;
   Resources request;
   int64_t accepted_ms = 0;                     // time of day, for the record
   double accepted_at = 0;                      // the same on the steady clock
-  bool stored = false;                         // accepted durably
+  bool stored = false;                         // its acceptance is durable
   bool inherited = false;                      // accepted in an earlier term
-  bool cancel_wanted = false;                  // a user has cancelled it; may not be durable yet
+  bool cancel_requested = false;               // by a user; may not be durable yet
   FinalState final_state = FinalState::kNone;  // durable
-  uint32_t done_chunk = 0;                     // tasks a chunk of the done set covers
+  uint32_t tasks_per_chunk = 0;                // tasks that a chunk of the done set covers
   ChunkSplit chunk_split = ChunkSplit::kNone;
   std::set<uint32_t> unwritten_chunks;  // kWritingChunks: chunk records that are not stored yet
   std::vector<TaskState> tasks;
   uint32_t pending = 0;
-  uint32_t done = 0;         // in memory
-  uint32_t done_stored = 0;  // durable
+  uint32_t done = 0;         // completed, durably or not
+  uint32_t done_stored = 0;  // completed and durable
   uint32_t first_pending = 0;
-  std::unordered_map<uint32_t, Attempt*> active;  // the attempt that counts for each active task
-  std::map<std::string, int> zone_counts;         // tasks that may be on a machine, by zone
+  std::unordered_map<uint32_t, Attempt*> active;  // the active attempt of each task, by task index
+  std::map<std::string, int> zone_counts;         // attempts that hold an allocation, by zone
   uint32_t running = 0;
-  std::unordered_set<Attempt*> attempts;    // known on any machine, ended ones included
+  std::unordered_set<Attempt*> attempts;    // on all machines, ended ones included
   bool started = false;                     // some task has run, as far as this term knows
   bool considered = false;                  // a whole scheduling cycle has tried to place it
-  std::map<std::string, double> failed_on;  // machines on which a task ended with an error, when
-  double not_before = 0;                    // it backs off until then
-  std::optional<Gang> gang;                 // of a job whose tasks run together
+  std::map<std::string, double> failed_on;  // time of the last failed task, by machine id
+  double not_before = 0;                    // the job backs off until then
+  std::optional<Gang> gang;                 // only if the tasks must run at the same time
 
-  bool Live() const { return final_state == FinalState::kNone && !cancel_wanted; }
+  // Neither finished nor cancelled, so that its tasks may start.
+  bool Live() const { return final_state == FinalState::kNone && !cancel_requested; }
   bool AllDone() const { return done == spec.tasks; }
 };
 
-// What users may be told of a job: durable state, and how many tasks run.
+// The state of a job that users may see: durable state, and the number of running tasks.
 struct JobView {
   wire::JobPhase phase = wire::JobPhase::kPending;
   uint32_t done = 0;
--- a/src/core/locked_cluster.h
+++ b/src/core/locked_cluster.h
@@ -1,5 +1,5 @@
-// A Cluster together with the mutex that guards it: the I/O thread and the scheduler thread share
-// one per term and reach it only through WithLock.
+// A Cluster and the mutex that guards it. The I/O thread and the scheduler thread share one per
+// term and access it only through WithLock.
 #ifndef ZINCLEAD_CORE_LOCKED_CLUSTER_H_
 #define ZINCLEAD_CORE_LOCKED_CLUSTER_H_
 
@@ -11,13 +11,14 @@
 
 namespace zinclead::core {
 
+// Thread-safe. Owns the cluster.
 class LockedCluster {
  public:
   // `cluster` must not be null.
   explicit LockedCluster(std::unique_ptr<Cluster> cluster) : cluster_(std::move(cluster)) {}
 
-  // Returns what `use(Cluster&)` returns, by value, having held the lock for the call. `use` must
-  // not do I/O, call WithLock again, or keep references to the cluster's state.
+  // Calls `use(Cluster&)` while holding the lock and returns its result by value. `use` must not do
+  // I/O, call WithLock again, or keep references to the cluster's state.
   template <typename Use>
   auto WithLock(Use&& use) {
     const std::scoped_lock lock(mutex_);
--- a/src/core/machine_lifecycle.cc
+++ b/src/core/machine_lifecycle.cc
@@ -5,60 +5,59 @@
 namespace zinclead::core {
 namespace {
 
-// PROTOCOL: steady clocks may drift apart by 0.05%.
+// The share by which steady clocks may drift apart, as PROTOCOL guarantees.
 constexpr double kMaxClockDrift = 0.0005;
 
-// The share of the workers' lease after which a machine that has sent a new leader nothing
-// is replaced.
-constexpr double kSilentShare = 0.4;
+// A machine that has sent a new leader no heartbeat for this share of the workers' lease is
+// replaced.
+constexpr double kFailoverSilenceLeaseShare = 0.4;
 
-// A machine that has missed kUnacknowledgedLimit responses over this share of its lease has lost
-// its downlink. A few heartbeats that were delayed and arrived together show nothing.
-constexpr double kDownlinkLossShare = 0.5;
+// A machine that has missed responses over this share of its lease has lost its downlink; a few
+// delayed heartbeats that arrive together are no evidence.
+constexpr double kDownlinkLossLeaseShare = 0.5;
 
-// One machine and this share of the fleet may fail at once; if more seem to, the fault is the
-// leader's.
-constexpr size_t kFaultyShareDivisor = 10;
+// At most one machine, plus one for every this many machines of the fleet, is expected to fail at
+// once. If more seem to fail, the leader's own network is at fault.
+constexpr size_t kMachinesPerToleratedFault = 10;
 
 }  // namespace
 
 void MachineLifecycle::CheckMachines(double now, bool lease_expired, CloudActions* cloud_actions) {
   for (auto& [id, machine] : state_.machines) CheckpointBeforeReclaim(machine.get(), now);
-  // A newer leader may keep alive, and use, machines that a leader with an expired lease gets no
-  // heartbeats from: a leader that was isolated with the machines of its zone declared all others
-  // dead after a lease, and ran their tasks a second time. So their silence proves nothing, and
-  // what seems idle or dead must not be terminated here.
+  // Without a valid lease, the silence of a machine proves nothing: a newer leader may renew its
+  // lease and use it while its heartbeats do not reach this leader. An isolated leader that acted
+  // on the silence would start tasks a second time and terminate machines in use.
   if (lease_expired) return;
   const FleetHealth fleet = AssessFleet(now);
   for (auto& [id, owned] : state_.machines) {
     Machine* machine = owned.get();
     ExpireEpoch(machine, now);
-    ForgetOldDeliveryFailures(machine, now);
+    ResetOldUnacknowledgedResponses(machine, now);
     TerminateIfUnreachable(machine, fleet, now);
     TerminateIfSilentInFailover(machine, fleet, now);
     TerminateIfBootFailed(machine, now);
     TerminateIfIdle(machine, now);
-    TerminateIfEmptied(machine);
+    TerminateIfCordonedAndEmpty(machine);
     TerminateIfReclaimed(machine, now);
     SendTermination(machine, now, cloud_actions);
   }
 }
 
-void MachineLifecycle::CordonAndStop(Machine* machine, double now) {
+void MachineLifecycle::CordonAndStopTasks(Machine* machine, double now) {
   machine->Cordon();
   for (auto& [key, attempt] : machine->attempts) attempts_.StopWithCheckpoint(attempt.get(), now);
   state_.schedule_due = true;
 }
 
-// Work that can save is told to while there is time for it; the rest runs on to the end.
+// Tasks that can't save a checkpoint keep running until the machine is reclaimed.
 void MachineLifecycle::CheckpointBeforeReclaim(Machine* machine, double now) {
-  if (!machine->notice_at || machine->Terminating()) return;
+  if (!machine->reclaim_at || machine->Terminating()) return;
   for (auto& [key, attempt] : machine->attempts) {
     const wire::JobSpec& spec = attempt->job->spec;
     // A gang's tasks that have saved wait for the others.
     const double wait_s = attempt->job->gang ? state_.settings.gang_peer_s : 0;
     if (spec.checkpoint_s > 0 && !attempt->stop &&
-        *machine->notice_at - now <=
+        *machine->reclaim_at - now <=
             2 * spec.save_s + 2 * state_.settings.heartbeat_interval_s + wait_s) {
       attempts_.StopWithCheckpoint(attempt.get(), now);
     }
@@ -76,11 +75,12 @@
     if (now - std::max(machine->last_heartbeat_at, state_.started_at) > silent_s / 2) ++silent;
     if (SeemsUnreachable(*machine, now)) ++downlink_lost;
   }
-  const size_t few = 1 + up / kFaultyShareDivisor;
-  return {silent <= few, downlink_lost <= few, InheritedWorkWaits()};
+  const size_t tolerated_faults = 1 + up / kMachinesPerToleratedFault;
+  return {silent <= tolerated_faults, downlink_lost <= tolerated_faults,
+          HasWaitingInheritedTasks()};
 }
 
-bool MachineLifecycle::InheritedWorkWaits() const {
+bool MachineLifecycle::HasWaitingInheritedTasks() const {
   return !state_.reconciled &&
          std::any_of(state_.active_jobs.begin(), state_.active_jobs.end(), [](const auto& entry) {
            const Job& job = *entry.second;
@@ -90,21 +90,22 @@
 
 void MachineLifecycle::ExpireEpoch(Machine* machine, double now) {
   if (machine->stage != MachineStage::kUp || machine->epoch_expired) return;
-  // Until the worker has seen this term an earlier leader may have kept its lease alive, for
+  // Until the worker has seen this term, an earlier leader may have renewed its lease: for
   // KeepAliveLimit after that leader's own lease, which ended before this term began, or until all
   // other controllers knew this term.
   const double last_renewal =
-      machine->acknowledged ? machine->last_heartbeat_at
-                            : std::max(machine->last_heartbeat_at, state_.earlier_leader_deadline);
+      machine->acknowledged
+          ? machine->last_heartbeat_at
+          : std::max(machine->last_heartbeat_at, state_.earlier_leader_renewals_until);
   if (now <= last_renewal + LongestLeaseS()) return;
   machine->epoch_expired = true;
-  attempts_.DropAllAttempts(machine, now);
+  attempts_.RemoveAllAttempts(machine, now);
   machine->Terminate();
   state_.schedule_due = true;
 }
 
-// It has missed nothing for a lease and its epoch goes on: responses reached it.
-void MachineLifecycle::ForgetOldDeliveryFailures(Machine* machine, double now) const {
+// The agent epoch has lasted for a whole lease without a missed response, so responses arrive.
+void MachineLifecycle::ResetOldUnacknowledgedResponses(Machine* machine, double now) const {
   if (machine->unacknowledged_responses > 0 &&
       now - machine->last_unacknowledged_at > LongestLeaseS()) {
     machine->unacknowledged_responses = 0;
@@ -121,14 +122,13 @@
   machine->Terminate();
 }
 
-// After a failover nobody knows what is on a silent machine. All that is inherited and not listed
-// may be there, and should not wait until its lease has ended for every earlier leader (hljod grown
-// rough: 50 s for 24 machines that had died): a termination proves sooner that it runs no more.
-// When many are silent the fault is the leader's.
+// After a failover the tasks on a silent machine are unknown, and inherited tasks would have to
+// wait until its lease has expired for every earlier leader. A confirmed termination proves sooner
+// that they have ended. If many machines are silent, the leader's network is at fault.
 void MachineLifecycle::TerminateIfSilentInFailover(Machine* machine, const FleetHealth& fleet,
                                                    double now) const {
-  if (fleet.few_silent && fleet.inherited_work_waits && machine->stage == MachineStage::kUp &&
-      !machine->acknowledged && !machine->Terminating() &&
+  if (fleet.few_machines_silent && fleet.has_waiting_inherited_tasks &&
+      machine->stage == MachineStage::kUp && !machine->acknowledged && !machine->Terminating() &&
       now - std::max(machine->last_heartbeat_at, state_.started_at) > FailoverSilenceS()) {
     machine->Terminate();
   }
@@ -142,9 +142,8 @@
   }
 }
 
-// Machines that only the cloud's list names boot by themselves or are given up like the rest;
-// without a type nothing can ever be placed on them. One that receives no commands is idle because
-// it is given nothing: TerminateIfUnreachable decides on it.
+// Not for machines that are still booting, which are left to TerminateIfBootFailed, nor for those
+// that receive no commands, which are idle for that reason and left to TerminateIfUnreachable.
 void MachineLifecycle::TerminateIfIdle(Machine* machine, double now) {
   if (machine->stage != MachineStage::kUp || machine->Terminating() || !machine->acknowledged ||
       !machine->ReceivesCommands() || !machine->attempts.empty()) {
@@ -152,23 +151,23 @@
   }
   const bool idle = now - machine->idle_since >= state_.operator_settings.idle_s;
   const bool reserved = NeededAsHeadroom(*machine) || state_.gang_headroom.contains(machine->id);
-  const bool charge_paid =
+  const bool minimum_charge_paid =
       now - machine->requested_at >= wire::kMinChargeS - state_.settings.heartbeat_interval_s;
-  if (!idle || reserved || !charge_paid) return;
+  if (!idle || reserved || !minimum_charge_paid) return;
   state_.headroom_surplus -= machine->headroom_slots;
   machine->headroom_slots = 0;
   machine->Terminate();
 }
 
-void MachineLifecycle::TerminateIfEmptied(Machine* machine) {
+void MachineLifecycle::TerminateIfCordonedAndEmpty(Machine* machine) {
   if (!machine->Schedulable() && machine->attempts.empty() && machine->acknowledged) {
     machine->Terminate();
   }
 }
 
-// That the cloud has reclaimed it can't be seen; an answered termination can.
+// The reclaim itself can't be observed; the response to a termination can.
 void MachineLifecycle::TerminateIfReclaimed(Machine* machine, double now) {
-  if (machine->notice_at && now >= *machine->notice_at) machine->Terminate();
+  if (machine->reclaim_at && now >= *machine->reclaim_at) machine->Terminate();
 }
 
 void MachineLifecycle::SendTermination(Machine* machine, double now, CloudActions* cloud_actions) {
@@ -181,7 +180,7 @@
 
 bool MachineLifecycle::SeemsUnreachable(const Machine& machine, double now) const {
   return !machine.ReceivesCommands() &&
-         now - machine.unacknowledged_since >= kDownlinkLossShare * state_.settings.lease_s;
+         now - machine.first_unacknowledged_at >= kDownlinkLossLeaseShare * state_.settings.lease_s;
 }
 
 double MachineLifecycle::LongestLeaseS() const {
@@ -189,9 +188,9 @@
          state_.settings.heartbeat_interval_s / 4;
 }
 
-// A worker that lost one response is silent for a heartbeat interval, its timeout and a second.
+// A worker that lost one response is silent for a heartbeat interval, its timeout and one second.
 double MachineLifecycle::FailoverSilenceS() const {
-  return std::max(kSilentShare * state_.settings.lease_s,
+  return std::max(kFailoverSilenceLeaseShare * state_.settings.lease_s,
                   2 * state_.settings.heartbeat_interval_s + wire::kHeartbeatTimeoutS + 1);
 }
 
--- a/src/core/machine_offer.h
+++ b/src/core/machine_offer.h
@@ -1,4 +1,4 @@
-// Names what the cloud offers for scale-out: a machine type in a zone, spot or on demand.
+// Identifies an offer of the cloud for scale-out: a machine type in a zone, spot or on demand.
 #ifndef ZINCLEAD_CORE_MACHINE_OFFER_H_
 #define ZINCLEAD_CORE_MACHINE_OFFER_H_
 
@@ -7,7 +7,7 @@
 
 namespace zinclead::core {
 
-// Identifies one kind of machine that can be requested. Equal values name the same offer.
+// One kind of machine that can be requested. Equal values identify the same offer.
 struct MachineOffer {
   std::string type;
   std::string zone;
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -6,12 +6,12 @@
 namespace zinclead::core {
 namespace {
 
-// Retry intervals for which an offer without capacity is not asked for again, at first and at most.
-constexpr double kInitialBackoffRetries = 4;
-constexpr double kMaxBackoffRetries = 16;
+// How many retry intervals an offer without capacity is not requested again, at first and at most.
+constexpr double kInitialCapacityBackoffRetryIntervals = 4;
+constexpr double kMaxCapacityBackoffRetryIntervals = 16;
 
 // A failed call to the cloud is repeated after the retry interval divided by this.
-constexpr double kCloudRetryDivisor = 5;
+constexpr double kCloudRetryIntervalDivisor = 5;
 
 void SetType(Machine* machine, const wire::MachineType& type) {
   machine->type = &type;
@@ -27,7 +27,7 @@
   machine->type_name = record->type;
   machine->zone = record->zone;
   machine->spot = record->spot;
-  machine->record = record->name;
+  machine->record_name = record->name;
   machine->requested_at = record->requested_at;
   machine->idle_since = now;
   if (const auto type = state_.types.find(machine->type_name); type != state_.types.end()) {
@@ -41,26 +41,26 @@
 }
 
 ScaleOutRecord* MachineRegistry::RecordOf(const Machine& machine) {
-  const auto it = state_.scale_outs.find(machine.record);
+  const auto it = state_.scale_outs.find(machine.record_name);
   return it == state_.scale_outs.end() ? nullptr : it->second.get();
 }
 
 Machine* MachineRegistry::AdoptMachine(const std::string& id, const std::string& type,
                                        const std::string& zone, bool spot, double now) {
-  // The name can't collide with a scale-out request's: those begin with the term.
+  // No scale-out request has such a name: those begin with the term.
   auto record = std::make_unique<ScaleOutRecord>();
   record->name = "adopted-" + id;
   record->type = type;
   record->zone = zone;
   record->spot = spot;
   record->count = 1;
-  record->phase = ScaleOutPhase::kAnswered;
+  record->phase = ScaleOutPhase::kCompleted;
   record->adopted = true;
   record->requested_at = now;
-  ScaleOutRecord* raw = record.get();
-  state_.scale_outs[raw->name] = std::move(record);
-  Machine* machine = AddMachine(id, raw, now);
-  queue_.Enqueue(ScaleOutKey(raw->name), Importance::kNormal);
+  ScaleOutRecord* added = record.get();
+  state_.scale_outs[added->name] = std::move(record);
+  Machine* machine = AddMachine(id, added, now);
+  queue_.Enqueue(ScaleOutKey(added->name), Importance::kNormal);
   return machine;
 }
 
@@ -68,12 +68,11 @@
   const auto it = state_.machines.find(id);
   if (it == state_.machines.end()) return;
   Machine* machine = it->second.get();
-  attempts_.DropAllAttempts(machine, now);
+  attempts_.RemoveAllAttempts(machine, now);
   if (ScaleOutRecord* record = RecordOf(*machine)) {
     record->machines.erase(id);
-    // Before the progress of jobs, which would use up all writes: a new leader waits for every
-    // machine that the records name, terminated ones too (hljod grown rough: 163 of 608 had been
-    // terminated long before).
+    // Written before the progress of jobs, which would use up all writes: a new leader waits for
+    // every machine that the records name, even for terminated ones.
     queue_.Enqueue(ScaleOutKey(record->name), Importance::kNormal);
   }
   --state_.machines_in_zone[machine->zone];
@@ -86,7 +85,7 @@
     auto [it, added] = state_.types.try_emplace(type.name, type);
     wire::MachineType previous = it->second;
     it->second = type;
-    previous.spot_price = type.spot_price;  // changes all the time: no reason to store it again
+    previous.spot_price = type.spot_price;  // changes too often to be stored each time
     if (added || wire::ToJson(previous) != wire::ToJson(type)) {
       queue_.Enqueue(MachineTypeKey(type.name), Importance::kNormal);
     }
@@ -106,24 +105,26 @@
   ScaleOutRecord* scale_out = it->second.get();
   state_.schedule_due = true;
   if (outcome == ScaleOutOutcome::kUnknown) {
-    // It may have been carried out. The same name brings the same machines, so ask again.
+    // The request may have been carried out. Repeating it under the same name starts no further
+    // machines.
     scale_out->OnSendFailed();
-    scale_out->retry_at = now + CloudRetryInterval();
+    scale_out->retry_at = now + CloudRetryIntervalS();
     return;
   }
   const bool short_of_capacity = outcome == ScaleOutOutcome::kNoCapacity ||
                                  machines.size() < static_cast<size_t>(scale_out->count);
   UpdateCapacityBackoff(scale_out->Offer(), short_of_capacity, now);
-  scale_out->phase = ScaleOutPhase::kAnswered;
+  scale_out->phase = ScaleOutPhase::kCompleted;
   for (const std::string& id : machines) {
-    if (state_.terminated.contains(id)) continue;
+    if (state_.terminated_machines.contains(id)) continue;
     if (state_.machines.contains(id)) continue;  // adopted from a heartbeat already
     AddMachine(id, scale_out, now);
   }
   queue_.Enqueue(ScaleOutKey(name), Importance::kNormal);
 }
 
-// Asking again for what the cloud has too few of costs scale-out tokens that others wait for.
+// Backs off from offers of which the cloud has too few machines: repeated requests would use up
+// scale-out tokens that other offers need.
 void MachineRegistry::UpdateCapacityBackoff(const MachineOffer& offer, bool short_of_capacity,
                                             double now) {
   if (!short_of_capacity) {
@@ -132,9 +133,10 @@
   }
   const double retry_s = state_.operator_settings.retry_s;
   ClusterState::CapacityBackoff& backoff = state_.capacity_backoffs[offer];
-  backoff.backoff_s = backoff.backoff_s == 0
-                          ? kInitialBackoffRetries * retry_s
-                          : std::min(2 * backoff.backoff_s, kMaxBackoffRetries * retry_s);
+  backoff.backoff_s =
+      backoff.backoff_s == 0
+          ? kInitialCapacityBackoffRetryIntervals * retry_s
+          : std::min(2 * backoff.backoff_s, kMaxCapacityBackoffRetryIntervals * retry_s);
   backoff.until = now + backoff.backoff_s;
 }
 
@@ -142,11 +144,11 @@
                                    double now) {
   for (const std::string& id : machines) {
     if (confirmed) {
-      state_.terminated.insert(id);
+      state_.terminated_machines.insert(id);
       RemoveMachine(id, now);
     } else if (Machine* machine = state_.FindMachine(id)) {
       machine->OnTerminationFailed();
-      machine->terminate_retry_at = now + CloudRetryInterval();
+      machine->terminate_retry_at = now + CloudRetryIntervalS();
     }
   }
   reconciler_.CheckReconciled();
@@ -155,20 +157,22 @@
 
 void MachineRegistry::OnMachineList(const std::vector<wire::ListedMachine>& machines, double now) {
   for (const wire::ListedMachine& listed : machines) {
-    if (state_.terminated.contains(listed.id)) continue;
+    if (state_.terminated_machines.contains(listed.id)) continue;
     Machine* machine = state_.FindMachine(listed.id);
     if (machine == nullptr) {
       AdoptListedMachine(listed, now);
     } else if (listed.state == wire::ListedState::kFailed && !machine->Terminating()) {
-      // A failed machine has stopped for good. Only its termination proves that to the leader.
+      // A failed machine never runs again, but only a confirmed termination proves that to the
+      // leader.
       machine->Terminate();
       state_.schedule_due = true;
     }
   }
 }
 
-// No record names the machine: a request was carried out late, or it is left over from an earlier
-// term. While a request for its offer is unanswered it is most likely that one's.
+// Adopts a machine that no record names: a request was carried out late, or the machine is left
+// from an earlier term. While a request for its offer has no response, the machine probably belongs
+// to that request.
 void MachineRegistry::AdoptListedMachine(const wire::ListedMachine& listed, double now) {
   const bool requested =
       std::any_of(state_.scale_outs.begin(), state_.scale_outs.end(), [&](const auto& entry) {
@@ -192,8 +196,8 @@
   }
 }
 
-double MachineRegistry::CloudRetryInterval() const {
-  return state_.operator_settings.retry_s / kCloudRetryDivisor;
+double MachineRegistry::CloudRetryIntervalS() const {
+  return state_.operator_settings.retry_s / kCloudRetryIntervalDivisor;
 }
 
 }  // namespace zinclead::core
--- a/src/core/machine_registry.h
+++ b/src/core/machine_registry.h
@@ -1,5 +1,5 @@
-// Keeps the machines, the scale-out requests that brought them, and what the cloud says of both.
-// Times are seconds on the steady clock.
+// Adds and removes machines and scale-out requests, from the cloud's responses and its machine
+// list. Times are seconds on the steady clock.
 #ifndef ZINCLEAD_CORE_MACHINE_REGISTRY_H_
 #define ZINCLEAD_CORE_MACHINE_REGISTRY_H_
 
@@ -13,37 +13,40 @@
 
 namespace zinclead::core {
 
+// Owns none of the objects that it is given; they must outlive it. Not thread-safe.
 class MachineRegistry {
  public:
   MachineRegistry(ClusterState* state, RecordQueue* queue, AttemptTracker* attempts,
                   FailoverReconciler* reconciler)
       : state_(*state), queue_(*queue), attempts_(*attempts), reconciler_(*reconciler) {}
 
-  // Adds a machine that the record brought. No machine of that id may be known.
+  // Adds a machine of the scale-out record. The id must not be known yet.
   Machine* AddMachine(const std::string& id, ScaleOutRecord* record, double now);
-  // Adds a machine that no record names, with a record of its own.
+  // Adds a machine that no record names, and creates a record for it.
   Machine* AdoptMachine(const std::string& id, const std::string& type, const std::string& zone,
                         bool spot, double now);
-  // The cloud's current machine types. Types that it no longer names are kept.
+  // Updates the machine types from the cloud's current list. Types that are missing from it are
+  // kept.
   void OnMachineTypes(const std::vector<wire::MachineType>& types);
-  // The outcome of the scale-out request `name`, and the ids of the machines it brought. Answers to
-  // unknown requests, and repeated ones, are ignored.
+  // Processes the cloud's response to the scale-out request `name`, with the ids of the machines
+  // that it started. Responses to unknown requests, and repeated ones, are ignored.
   void OnScaleOutAnswered(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& machines, double now);
-  // The cloud answered a termination. `confirmed`: the machines run no more; otherwise the request
-  // is repeated later.
+  // Processes the cloud's response to a termination request. `confirmed`: the machines no longer
+  // run; otherwise the request is repeated later.
   void OnTerminated(const std::vector<std::string>& machines, bool confirmed, double now);
-  // The cloud's list of machines, which may be out of date by `cloud_list_lag_s`.
+  // Processes the cloud's machine list, which may be out of date by `cloud_list_lag_s`.
   void OnMachineList(const std::vector<wire::ListedMachine>& machines, double now);
   // Appends the scale-out requests that may be sent now to `cloud_actions`.
   void IssueScaleOut(double now, CloudActions* cloud_actions);
 
  private:
   void AdoptListedMachine(const wire::ListedMachine& listed, double now);
+  // Removes a terminated machine, its attempts, and its id from its record.
   void RemoveMachine(const std::string& id, double now);
   ScaleOutRecord* RecordOf(const Machine& machine);
   void UpdateCapacityBackoff(const MachineOffer& offer, bool short_of_capacity, double now);
-  double CloudRetryInterval() const;
+  double CloudRetryIntervalS() const;
 
   ClusterState& state_;
   RecordQueue& queue_;
--- a/src/core/progress_records.cc
+++ b/src/core/progress_records.cc
@@ -9,23 +9,25 @@
 namespace zinclead::core {
 namespace {
 
-// A done set's text takes at most this many bytes a task, every second one being done ("9998,").
-constexpr uint32_t kDoneBytesPerTask = 4;
+// An upper bound: the longest text lists every second task, with five bytes ("9998,") for two
+// tasks.
+constexpr uint32_t kMaxDoneSetBytesPerTask = 4;
 
-// A done set takes at most this part of a value: half is the job's description, the rest is spare.
-constexpr uint32_t kDoneValueParts = 4;
+// A done set takes at most a value's bytes divided by this: half of the value is for the job's
+// description, the rest is spare.
+constexpr uint32_t kDoneSetValueDivisor = 4;
 
 }  // namespace
 
 uint32_t ProgressChunkSize(const config::Settings& settings) {
   const auto bytes = static_cast<uint32_t>(settings.ValueBytes());
-  return std::max(1U, bytes / (kDoneValueParts * kDoneBytesPerTask));
+  return std::max(1U, bytes / (kDoneSetValueDivisor * kMaxDoneSetBytesPerTask));
 }
 
 uint32_t ProgressRecords::ChunkSize() const { return ProgressChunkSize(state_.settings); }
 
-// If not even what is durable fits, all of it is returned: the state service refuses that, or
-// accepts it while its limits last.
+// If even the durable completions do not fit, all completions are returned: the state service then
+// refuses the write, or accepts it while its limits allow.
 std::string ProgressRecords::SerializeDoneSet(const Job& job, uint32_t first, uint32_t count,
                                               size_t max_bytes,
                                               std::vector<uint32_t>* covered) const {
@@ -54,22 +56,23 @@
                                                           uint32_t chunk) {
   InFlightWrite& in_flight = queue_.BeginWrite(key);
   const bool splitting = job.chunk_split != ChunkSplit::kNone;
-  const uint32_t size = splitting ? ChunkSize() : job.done_chunk;
+  const uint32_t size = splitting ? ChunkSize() : job.tasks_per_chunk;
   if (uint64_t{chunk} * size >= job.spec.tasks) return std::nullopt;
   // Two bytes are the quotes of the JSON string.
   std::string text =
       SerializeDoneSet(job, chunk * size, size, state_.settings.ValueBytes() - 2, &in_flight.done);
-  // Until the job's record says the smaller chunk size, no reader understands this one.
+  // Readers ignore this record until the job's record contains the smaller chunk size, so it makes
+  // no completion durable yet.
   if (splitting) in_flight.done.clear();
   if (text.empty()) return std::nullopt;
   return wire::Json(std::move(text));
 }
 
 void ProgressRecords::EnqueueProgress(Job* job, uint32_t index) {
-  // Written when the split is finished. Until then the job's record must not change: what it shows
-  // as done has to be in the smaller chunks before it says their size.
+  // Enqueued when the split is finished. Until then the job's record must not change: the tasks
+  // that it marks as done must be in the smaller chunks before it contains their size.
   if (job->chunk_split != ChunkSplit::kNone) return;
-  const uint32_t chunk = index / job->done_chunk;
+  const uint32_t chunk = index / job->tasks_per_chunk;
   queue_.Enqueue(chunk == 0 ? JobKey(job->spec.id) : ProgressKey(job->spec.id, chunk),
                  Importance::kBackground);
 }
@@ -77,12 +80,14 @@
 void ProgressRecords::BeginChunkSplit(Job* job) {
   const wire::Json record{{"spec", wire::ToJson(job->spec)}, {"accepted_ms", job->accepted_ms}};
   const size_t description = record.dump().size();
-  const size_t max_bytes = state_.settings.ValueBytes() / kDoneValueParts * (kDoneValueParts - 1);
+  const size_t max_bytes =
+      state_.settings.ValueBytes() / kDoneSetValueDivisor * (kDoneSetValueDivisor - 1);
   if (description > max_bytes) return;  // its record can't be written, whatever the chunk size
-  if (job->spec.tasks <= job->done_chunk) return WriteChunks(job);
+  if (job->spec.tasks <= job->tasks_per_chunk) return WriteChunks(job);
   std::vector<uint32_t> covered;
   const std::string done = SerializeDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
-  // What does not fit one record stays in the chunks that it has, each with as much as fits.
+  // Progress that does not fit in one record stays in its present chunks, each with as much as
+  // fits.
   if (description + done.size() > max_bytes) return;
   job->chunk_split = ChunkSplit::kCollapsing;
   queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
@@ -105,12 +110,12 @@
   queue_.Enqueue(JobKey(job->spec.id), Importance::kBackground);
 }
 
-void ProgressRecords::OnJobRecordStored(Job* job, uint32_t chunk) {
-  if (job->chunk_split == ChunkSplit::kCollapsing && chunk == job->spec.tasks) {
-    job->done_chunk = chunk;
+void ProgressRecords::OnJobRecordStored(Job* job, uint32_t tasks_per_chunk) {
+  if (job->chunk_split == ChunkSplit::kCollapsing && tasks_per_chunk == job->spec.tasks) {
+    job->tasks_per_chunk = tasks_per_chunk;
     WriteChunks(job);
-  } else if (job->chunk_split == ChunkSplit::kSwitching && chunk == ChunkSize()) {
-    job->done_chunk = chunk;
+  } else if (job->chunk_split == ChunkSplit::kSwitching && tasks_per_chunk == ChunkSize()) {
+    job->tasks_per_chunk = tasks_per_chunk;
     job->chunk_split = ChunkSplit::kNone;
     for (uint32_t i = 0; i < job->spec.tasks; ++i) {
       if (job->tasks[i] == TaskState::kDoneUnstored) EnqueueProgress(job, i);
@@ -119,8 +124,8 @@
 }
 
 void ProgressRecords::DeleteChunks(const Job& job) {
-  // Of a split that is not finished there may be records in chunks of either size.
-  const uint32_t size = std::min(job.done_chunk, ChunkSize());
+  // An unfinished split may have left records of either chunk size.
+  const uint32_t size = std::min(job.tasks_per_chunk, ChunkSize());
   for (uint32_t chunk = 1; uint64_t{chunk} * size < job.spec.tasks; ++chunk) {
     queue_.Enqueue(ProgressKey(job.spec.id, chunk), Importance::kBackground);
   }
--- a/src/core/record_queue.cc
+++ b/src/core/record_queue.cc
@@ -12,9 +12,8 @@
 void RecordQueue::Insert(const std::string& key, Position position) {
   const auto [it, added] = queued_.emplace(key, position);
   if (!added) {
-    // It keeps its place among keys of its importance: a record that changes all the time must not
-    // starve the rest.
-    position.since = std::min(position.since, it->second.since);
+    // The key keeps its age: a record that changes all the time must not starve the others.
+    position.sequence_number = std::min(position.sequence_number, it->second.sequence_number);
     position.importance = std::min(position.importance, it->second.importance);
     order_.erase(it->second);
     it->second = position;
@@ -58,8 +57,7 @@
   writes_.erase(key);
   const auto it = dequeued_.find(key);
   if (it == dequeued_.end()) return Enqueue(key, Importance::kNormal);
-  // With the importance and the place it had: a record that could not be written must not get ahead
-  // of users' requests.
+  // A record whose write failed must not overtake users' requests.
   const Position position = it->second;
   dequeued_.erase(it);
   Insert(key, position);
--- a/src/core/record_queue.h
+++ b/src/core/record_queue.h
@@ -1,6 +1,6 @@
 // The write-behind queue of records: keys whose stored value is out of date, ordered by importance
-// and then by age, and the writes that are in flight. It holds keys only; values are serialized
-// when a key is dequeued, so a write always holds the latest state.
+// and then by age, and the writes in flight. It contains keys only; a value is serialized when its
+// key is dequeued, so each write contains the latest state.
 #ifndef ZINCLEAD_CORE_RECORD_QUEUE_H_
 #define ZINCLEAD_CORE_RECORD_QUEUE_H_
 
@@ -16,42 +16,44 @@
 
 namespace zinclead::core {
 
-// What the value of a record covers that was serialized and is not stored yet.
+// The changes in a serialized value that is not stored yet.
 struct InFlightWrite {
-  std::vector<uint32_t> done;               // tasks whose completion it covers
-  std::vector<std::string> dispatch_marks;  // machines that it says are dispatchable
+  std::vector<uint32_t> done;               // tasks whose completion the value contains
+  std::vector<std::string> dispatch_marks;  // machines that the value marks as dispatchable
   FinalState final_state = FinalState::kNone;
-  uint32_t chunk = 0;  // tasks a chunk covers, of a job's record
+  uint32_t tasks_per_chunk = 0;  // in a job's record: tasks that a chunk covers
 };
 
+// Not thread-safe.
 class RecordQueue {
  public:
-  // Queues the key. A key that is queued already keeps its age, and the greater importance holds.
+  // Queues the key. A key that is queued already keeps its age and gets the greater of both
+  // importances.
   void Enqueue(const std::string& key, Importance importance);
 
   bool empty() const { return queued_.empty(); }
   bool Contains(const std::string& key) const { return queued_.contains(key); }
   // The importance of the first key; kBackground if there is none.
   Importance FirstImportance() const;
-  // Takes up to `max` keys: the most important first, the oldest of those first. Each key must be
-  // given back by CompleteWrite or Requeue.
+  // Removes and returns up to `max` keys: the most important first, and the oldest first among
+  // those. Each key must be passed to CompleteWrite or Requeue later.
   std::vector<std::string> Dequeue(size_t max);
   // The importance of a key that was dequeued and is neither stored nor requeued yet; kNormal for
-  // any other.
+  // any other key.
   Importance ImportanceOf(const std::string& key) const;
 
-  // Starts a write of the key; the caller fills in what the serialized value covers.
+  // Starts a write of the key. The caller fills in the changes that the serialized value contains.
   InFlightWrite& BeginWrite(const std::string& key);
   bool HasWriteInFlight(const std::string& key) const { return writes_.contains(key); }
-  // The value was stored: returns what it covers, nothing if no write was begun.
+  // Ends a write that was stored, and returns its changes; none if no write was started.
   InFlightWrite CompleteWrite(const std::string& key);
-  // The value was not stored: the key is queued again with the importance and age it had.
+  // Ends a write that was not stored: queues the key again with its previous importance and age.
   void Requeue(const std::string& key);
 
  private:
   struct Position {
     Importance importance = Importance::kNormal;
-    uint64_t since = 0;                                 // counts enqueued keys
+    uint64_t sequence_number = 0;                       // grows with each enqueued key
     auto operator<=>(const Position&) const = default;  // NOLINT(modernize-use-nullptr)
   };
   void Insert(const std::string& key, Position position);
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -1,4 +1,4 @@
-// Amounts of machine resources: what a task requests and what a machine has.
+// Amounts of machine resources, requested by a task or provided by a machine.
 #ifndef ZINCLEAD_CORE_RESOURCES_H_
 #define ZINCLEAD_CORE_RESOURCES_H_
 
@@ -6,6 +6,7 @@
 
 namespace zinclead::core {
 
+// CPUs, GPUs and memory in GB.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -22,8 +23,7 @@
     memory_gb -= other.memory_gb;
     return *this;
   }
-  // Whether this fits `available`. Sums of decimal amounts are compared with a slack far below any
-  // amount in use.
+  // Whether this fits in `available`. Tolerates the rounding of sums of decimal amounts.
   bool Fits(const Resources& available) const {
     constexpr double kSlack = 1e-6;
     return cpus <= available.cpus + kSlack && gpus <= available.gpus + kSlack &&
@@ -31,7 +31,7 @@
   }
 };
 
-// What each task of the job allocates on its machine.
+// The resources that each task of the job allocates on its machine.
 inline Resources RequestOf(const wire::JobSpec& spec) {
   return {spec.cpus, spec.gpus, spec.memory_gb};
 }
--- a/src/core/scale_out_record.h
+++ b/src/core/scale_out_record.h
@@ -1,4 +1,4 @@
-// Scale-out requests, the machines they brought, and the calls that the core asks the cloud for.
+// Scale-out requests and their machines, and the calls to make to the cloud.
 #ifndef ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 #define ZINCLEAD_CORE_SCALE_OUT_RECORD_H_
 
@@ -12,15 +12,16 @@
 
 namespace zinclead::core {
 
+// The progress of a scale-out request.
 enum class ScaleOutPhase : uint8_t {
-  kQueued,    // decided; its name must be durable before it is sent
-  kDurable,   // may be sent
-  kSent,      // a call is in flight
-  kAnswered,  // the machines that it brought are known
+  kQueued,     // decided; its name must be durable before it is sent
+  kDurable,    // may be sent
+  kSent,       // the call is in flight
+  kCompleted,  // the response has arrived; the machines are known
 };
 
-// One scale-out request and the machines it brought, or one adopted machine. Times are seconds on
-// the steady clock.
+// One scale-out request and its machines, or one adopted machine (see
+// MachineRegistry::AdoptMachine). Times are seconds on the steady clock.
 struct ScaleOutRecord {
   std::string name;
   std::string type;
@@ -29,12 +30,12 @@
   int count = 0;
   ScaleOutPhase phase = ScaleOutPhase::kQueued;
   bool adopted = false;
-  double retry_at = 0;                   // not sent before
+  double retry_at = 0;                   // not sent before this time
   double requested_at = 0;               // the stored record holds the time of day
-  std::map<std::string, bool> machines;  // id -> dispatchable: a task may be on it
+  std::map<std::string, bool> machines;  // id -> dispatchable (a task may be on it)
 
   MachineOffer Offer() const { return {type, zone, spot}; }
-  bool Answered() const { return phase == ScaleOutPhase::kAnswered; }
+  bool Answered() const { return phase == ScaleOutPhase::kCompleted; }
   void OnStored() {
     if (phase == ScaleOutPhase::kQueued) phase = ScaleOutPhase::kDurable;
   }
@@ -43,10 +44,11 @@
   }
 };
 
-// kUnknown: no response; the request may have been carried out, or may still be.
+// The cloud's response to a scale-out request. kUnknown: there was none, so the request may have
+// been carried out, or may still be.
 enum class ScaleOutOutcome { kProvisioned, kNoCapacity, kUnknown };
 
-// What the service must do for the core.
+// The calls that the service must make to the cloud.
 struct CloudActions {
   std::vector<wire::ScaleOutRequest> scale_out;
   std::vector<std::string> scale_in;  // machines to terminate
--- a/src/core/task_set.h
+++ b/src/core/task_set.h
@@ -1,4 +1,5 @@
-// Compact text for a set of task numbers: "0-5,7,9-12". Done tasks are stored in this form.
+// A compact text format for a set of task numbers, such as "0-5,7,9-12". The sets of done tasks are
+// stored in this format.
 #ifndef ZINCLEAD_CORE_TASK_SET_H_
 #define ZINCLEAD_CORE_TASK_SET_H_
 
@@ -10,17 +11,17 @@
 
 namespace zinclead::core {
 
-// The text of the set of all i in [0, count) for which `has(i)` holds.
+// Returns the text of the set of all i in [0, count) for which `contains(i)` holds.
 template <typename F>
-std::string EncodeTaskSet(uint32_t count, F&& has) {
+std::string EncodeTaskSet(uint32_t count, F&& contains) {
   std::string out;
   for (uint32_t i = 0; i < count;) {
-    if (!has(i)) {
+    if (!contains(i)) {
       ++i;
       continue;
     }
     uint32_t last = i;
-    while (last + 1 < count && has(last + 1)) ++last;
+    while (last + 1 < count && contains(last + 1)) ++last;
     if (!out.empty()) out += ',';
     out += std::to_string(i);
     if (last > i) out += '-' + std::to_string(last);
@@ -29,8 +30,8 @@
   return out;
 }
 
-// Calls `add` for each number. Returns false when the text is malformed or names a number that is
-// not below `count`; numbers before the error have been added then.
+// Calls `add` for each number in the text. Returns false if the text is malformed or contains a
+// number that is not below `count`; `add` has then been called for the numbers before the error.
 template <typename F>
 bool DecodeTaskSet(std::string_view text, uint32_t count, F&& add) {
   const char* position = text.data();
--- a/tests/core/attempt_tracker_test.cc
+++ b/tests/core/attempt_tracker_test.cc
@@ -1,4 +1,4 @@
-// The counts that AttemptTracker keeps, against a recount from the attempts.
+// Compares the counts that AttemptTracker keeps with a recount from the attempts.
 
 #include "core/attempt_tracker.h"
 
@@ -16,7 +16,7 @@
 namespace zinclead::core {
 namespace {
 
-// A few machines and jobs whose attempts a generated history adds, stops, ends and removes.
+// A few machines and jobs whose attempts are added, stopped, ended and removed at random.
 class TrackedCluster {
  public:
   TrackedCluster() {
@@ -44,7 +44,7 @@
       tracker_.StopAttempt(attempt, *rc::gen::inRange(0, 3), kNow);
     }
   }
-  // As HeartbeatHandler does it for a listed end.
+  // Ends an attempt as HeartbeatHandler does when a heartbeat lists its end.
   void EndOne() {
     Attempt* attempt = AnyAttempt();
     if (attempt == nullptr || attempt->phase == AttemptPhase::kEnded) return;
@@ -59,7 +59,7 @@
   void RemoveOne() {
     if (Attempt* attempt = AnyAttempt()) tracker_.RemoveAttempt(attempt, kNow);
   }
-  void LoseMachine() { tracker_.DropAllAttempts(AnyMachine(), kNow); }
+  void LoseMachine() { tracker_.RemoveAllAttempts(AnyMachine(), kNow); }
 
   void ExpectCounts() {
     ExpectCountsMatchAttempts(state_.machines, state_.jobs);
@@ -100,6 +100,7 @@
   uint64_t last_number_ = 0;
 };
 
+// A count that differs from the attempts would overcommit a machine, or leave its capacity unused.
 RC_GTEST_PROP(AttemptTracker, CountsMatchTheAttemptsWhenTheyChange, ()) {
   TrackedCluster cluster;
   const int steps = *rc::gen::inRange(1, 60);
--- a/tests/core/durable_state_test.cc
+++ b/tests/core/durable_state_test.cc
@@ -1,4 +1,4 @@
-// The order and the size of stored records.
+// The order in which records are stored, and their size.
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 namespace zinclead::core {
 namespace {
 
-// Writes were used up by jobs' progress in the order of their ids; the records went on naming
-// machines that had been terminated, and each new leader waited for them.
+// Guards against progress that uses up all writes: records would keep naming terminated machines,
+// and each new leader would wait for those.
 TEST_F(CoreTest, MachineRecordsAreWrittenFirstWhenProgressIsQueued) {
   std::map<std::string, wire::TaskStatus> tasks;
   std::map<std::string, wire::TaskStatus> others;
@@ -40,7 +40,7 @@
   cluster_->OnTerminated({"i-2"}, true, now_);
   const std::vector<std::string> expected{"zinclead/machines/adopted-i-2", "zinclead/job/req-2"};
   EXPECT_EQ(cluster_->DequeueRecords(2), expected);
-  // What could not be written keeps its place, and what changes again does not lose it.
+  // A key whose write failed keeps its place, also when its record changes again.
   for (const std::string& key : expected) cluster_->Requeue(key);
   finish("req-2/1");
   EXPECT_EQ(cluster_->DequeueRecords(2), expected);
@@ -49,8 +49,8 @@
   EXPECT_EQ(cluster_->DequeueRecords(1), std::vector<std::string>{"zinclead/job/req-9"});
 }
 
-// 100,000 tasks fit the store's values, and the completions of one machine after the other are few
-// writes.
+// The records of a job with 100,000 tasks must fit the limit for a value, or its progress could not
+// be stored.
 TEST_F(CoreTest, RecordsStayWithinTheLimitWhenAJobIsLarge) {
   Submit(testing::MakeJob("req-1", 100'000));
   Store();
--- a/tests/core/failover_test.cc
+++ b/tests/core/failover_test.cc
@@ -1,4 +1,4 @@
-// Failover: what a new leader waits for before it starts inherited tasks again.
+// Failover: when a new leader may restart inherited tasks.
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 namespace zinclead::core {
 namespace {
 
-// An inherited task that no heartbeat lists may run on any machine that has not acknowledged the
-// term.
+// Guards against a second start of an inherited task that no heartbeat has listed: it may run on
+// any machine that has not acknowledged the term.
 TEST_F(CoreTest, InheritedTasksWaitUntilEveryMachineIsReconciled) {
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
@@ -23,9 +23,9 @@
   fencing_token_ = 0;
   BringUp("i-2", &none);
   BringUp("i-2", &none);
-  EXPECT_TRUE(none.empty()) << "started twice";
+  EXPECT_TRUE(none.empty()) << "the inherited task was started twice";
   EXPECT_FALSE(cluster_->reconciled());
-  // The machine is silent: its tasks are pending once its lease has ended for every possible
+  // The silent machine's tasks become pending only when its lease has expired for every possible
   // leader.
   now_ = all_leases_end - 0.5;
   cluster_->Schedule(now_);
@@ -35,7 +35,8 @@
   EXPECT_TRUE(cluster_->reconciled());
 }
 
-// With all other controllers known to follow the term only the machine's lease is waited for.
+// When all other controllers follow the term, only the lease of the silent machine delays the
+// failover.
 TEST_F(CoreTest, FailoverIsShorterWhenNoEarlierLeaderIsLeft) {
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
@@ -50,8 +51,8 @@
   EXPECT_TRUE(cluster_->reconciled());
 }
 
-// A machine that died while leaders changed must not hold up its services for the whole of
-// KeepAliveLimit and lease.
+// A machine that fails during a failover must not delay its services for KeepAliveLimit plus its
+// lease.
 TEST_F(CoreTest, InheritedServicesAreFreedWhenTheSilentMachineIsTerminated) {
   std::map<std::string, wire::TaskStatus> tasks;
   wire::JobSpec spec = testing::MakeJob("req-1");
@@ -69,23 +70,23 @@
   EXPECT_TRUE(cluster_->reconciled());
 }
 
-// Such a machine never shows the term, so a failover waited for it without end. Without a response
-// of the cloud its lease must end provably.
+// Such a machine never acknowledges the term, which must not block the failover forever. Without a
+// response of the cloud the failover ends when the machine's lease has provably expired.
 TEST_F(CoreTest, FailoverEndsWhenAMachineHasLostItsDownlink) {
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
   const uint64_t old_term = term_;
   Restart();
-  const double began = now_;
+  const double began_at = now_;
   UnreachableMachine unreachable(cluster_.get(), settings_, "i-1", old_term, 1000);
-  while (now_ < began + 20 * settings_.lease_s && !cluster_->reconciled()) {
+  while (now_ < began_at + 20 * settings_.lease_s && !cluster_->reconciled()) {
     now_ += wire::kHeartbeatTimeoutS + 1;
     unreachable.Heartbeat(now_);
     cluster_->Schedule(now_);  // the cloud does not respond
   }
   EXPECT_TRUE(cluster_->reconciled());
-  EXPECT_GT(now_, began + Cluster::KeepAliveLimit(settings_) + settings_.lease_s);
-  EXPECT_LT(now_, began + Cluster::KeepAliveLimit(settings_) + 4 * settings_.lease_s);
+  EXPECT_GT(now_, began_at + Cluster::KeepAliveLimit(settings_) + settings_.lease_s);
+  EXPECT_LT(now_, began_at + Cluster::KeepAliveLimit(settings_) + 4 * settings_.lease_s);
 }
 
 }  // namespace
--- a/tests/core/heartbeat_test.cc
+++ b/tests/core/heartbeat_test.cc
@@ -1,4 +1,4 @@
-// Heartbeats: first, delayed and repeated ones, and the commands in the responses.
+// Handling of first, delayed and repeated heartbeats, and the commands in the responses.
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,8 @@
 namespace zinclead::core {
 namespace {
 
-TEST_F(CoreTest, NothingStartsBeforeTheMachineIsRecorded) {
+// A new leader would not wait for tasks on a machine that is not recorded as dispatchable.
+TEST_F(CoreTest, NoTaskStartsUntilTheMachineIsRecordedAsDispatchable) {
   Submit(testing::MakeJob("req-1"));
   Store();
   wire::Heartbeat heartbeat;
@@ -26,6 +27,7 @@
   EXPECT_EQ(cluster_->OnHeartbeat(heartbeat, now_).commands.size(), 1U);
 }
 
+// A completion that only the worker knows must survive a failover.
 TEST_F(CoreTest, CompletionIsAcknowledgedOnlyWhenDurable) {
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
@@ -42,7 +44,7 @@
   EXPECT_TRUE(tasks.empty());
 }
 
-// Delayed copies of heartbeats reach a leader that knows nothing of what they were copied from.
+// A new leader must not take delayed copies of heartbeats for live machines or running tasks.
 TEST_F(CoreTest, DelayedCopiesAreRejectedWhenTheLeaderHasChanged) {
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
@@ -50,7 +52,7 @@
   copy.tasks = {tasks.begin()->second};
   wire::Heartbeat idle_copy = copy;
   idle_copy.tasks.clear();
-  // Its machine is terminated, the task runs elsewhere; then the leader changes.
+  // Machine i-1 is terminated and its task runs on i-2; then the leader changes.
   cluster_->OnTerminated({"i-1"}, true, now_);
   Store();
   std::map<std::string, wire::TaskStatus> elsewhere;
@@ -62,19 +64,21 @@
   Restart();
   EXPECT_TRUE(cluster_->OnHeartbeat(copy, now_).reject);
   cluster_->OnHeartbeat(idle_copy, now_);
-  EXPECT_FALSE(cluster_->machines().contains("i-1")) << "adopted as a live machine";
+  EXPECT_FALSE(cluster_->machines().contains("i-1")) << "i-1 was adopted from a delayed heartbeat";
   Store();
   SendHeartbeat("i-2", &elsewhere);
   SendHeartbeat("i-2", &elsewhere);
   EXPECT_TRUE(cluster_->reconciled());
-  // i-2 had restarted with its counters reset; a copy from before shows a later agent epoch.
+  // Machine i-2 has restarted with its counters reset; the copy from before shows a later agent
+  // epoch.
   EXPECT_TRUE(cluster_->OnHeartbeat(returned, now_).reject);
   EXPECT_EQ(cluster_->jobs().at("req-1")->pending, 0U);
   SendHeartbeat("i-2", &elsewhere);
   EXPECT_EQ(cluster_->View("req-1")->running, 1U);
 }
 
-// A copy that overtakes its original costs one response and nothing else.
+// If a copy of a heartbeat arrives before the original, the worker discards one response; the start
+// that it contained must be repeated.
 TEST_F(CoreTest, TaskStartsWhenACopyOvertakesItsOriginal) {
   std::map<std::string, wire::TaskStatus> tasks;
   BringUp("i-1", &tasks);
--- a/tests/core/machine_lifecycle_test.cc
+++ b/tests/core/machine_lifecycle_test.cc
@@ -1,4 +1,4 @@
-// Machines that are terminated: unreachable, faulty and reclaimed ones.
+// Termination of unreachable, faulty and reclaimed machines.
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace zinclead::core {
 namespace {
 
-// Such a machine was sent the same starts for ever.
+// Tasks must not wait forever for a machine that never receives their start commands.
 TEST_F(CoreTest, TasksRunElsewhereWhenAMachineHasLostItsDownlink) {
   std::map<std::string, wire::TaskStatus> none;
   std::map<std::string, wire::TaskStatus> tasks;
@@ -21,12 +21,12 @@
   Submit(testing::MakeJob("req-1"));
   Store();
   UnreachableMachine unreachable(cluster_.get(), settings_, "i-1", term_, 1000);
-  const double began = now_;
+  const double began_at = now_;
   bool terminated = false;
-  while (now_ < began + 10 * settings_.lease_s && tasks.empty()) {
+  while (now_ < began_at + 10 * settings_.lease_s && tasks.empty()) {
     now_ += wire::kHeartbeatTimeoutS + 1;
-    const bool answered = unreachable.Heartbeat(now_);
-    EXPECT_FALSE(terminated && answered) << "its lease seems to be renewed";
+    const bool responded = unreachable.Heartbeat(now_);
+    EXPECT_FALSE(terminated && responded) << "the lease of a terminating machine was renewed";
     for (const std::string& id : cluster_->Schedule(now_).scale_in) {
       EXPECT_EQ(id, "i-1");
       terminated = true;
@@ -36,11 +36,11 @@
   }
   EXPECT_TRUE(terminated);
   EXPECT_EQ(tasks.size(), 1U);
-  EXPECT_LT(now_ - began, 3 * settings_.lease_s);
+  EXPECT_LT(now_ - began_at, 3 * settings_.lease_s);
 }
 
-// When most machines seem unreachable the fault is the leader's, and the fleet stays. One lost
-// response shows nothing.
+// When most machines seem unreachable the leader's network is at fault, and the fleet must not be
+// terminated.
 TEST_F(CoreTest, NoMachineIsTerminatedWhenMostSeemUnreachable) {
   std::vector<UnreachableMachine> fleet;
   for (int i = 1; i <= 10; ++i) {
@@ -59,6 +59,7 @@
   }
 }
 
+// A faulty machine must not keep failing the tasks of many jobs.
 TEST_F(CoreTest, MachineIsTerminatedWhenTasksOfTwoJobsFailOnIt) {
   std::map<std::string, wire::TaskStatus> tasks;
   Submit(testing::MakeJob("req-1"));
@@ -77,7 +78,8 @@
   EXPECT_EQ(cluster_->Schedule(now_).scale_in, std::vector<std::string>{"i-1"});
 }
 
-TEST_F(CoreTest, WorkIsSavedAndMachineTerminatedWhenTheCloudReclaimsIt) {
+// A reclaimed spot machine must not lose the progress of tasks that can save a checkpoint.
+TEST_F(CoreTest, TasksSaveCheckpointsAndMachineIsTerminatedWhenTheCloudReclaimsIt) {
   std::map<std::string, wire::TaskStatus> tasks;
   wire::JobSpec spec = testing::MakeJob("req-1");
   spec.checkpoint_s = 5;
--- a/tests/core/record_keys_test.cc
+++ b/tests/core/record_keys_test.cc
@@ -1,4 +1,4 @@
-// Keys of stored records, made and taken apart.
+// Formatting and parsing of the keys of stored records.
 
 #include "core/record_keys.h"
 
@@ -16,13 +16,14 @@
   EXPECT_EQ(record.chunk, chunk) << key;
 }
 
-TEST(RecordKeys, KeyIsParsedIntoWhatItWasMadeFrom) {
+TEST(RecordKeys, ParsedKeyHasThePartsThatItWasMadeFrom) {
   ExpectParsed(JobKey("req-1"), RecordKind::kJob, "req-1", 0);
   ExpectParsed(ProgressKey("req-1", 12), RecordKind::kProgress, "req-1", 12);
   ExpectParsed(ScaleOutKey("r3-7"), RecordKind::kScaleOut, "r3-7", 0);
   ExpectParsed(MachineTypeKey("c4"), RecordKind::kMachineType, "c4", 0);
 }
 
+// A new version must find the records of earlier versions.
 TEST(RecordKeys, FormOfKeysIsFixed) {
   EXPECT_EQ(JobKey("req-1"), "zinclead/job/req-1");
   EXPECT_EQ(ProgressKey("req-1", 12), "zinclead/tasks/req-1/12");
@@ -30,7 +31,7 @@
   EXPECT_EQ(MachineTypeKey("c4"), "zinclead/type/c4");
 }
 
-TEST(RecordKeys, KeyIsForeignOrMalformedWhenItIsNoneOfTheLeaders) {
+TEST(RecordKeys, KeyIsForeignOrMalformedWhenItIsNotALeaderRecord) {
   ExpectParsed("zinclead/leader", RecordKind::kForeign, "", 0);
   ExpectParsed("zinclead/tasks/req-1", RecordKind::kMalformed, "", 0);
 }
--- a/tests/core/record_queue_test.cc
+++ b/tests/core/record_queue_test.cc
@@ -18,8 +18,8 @@
 
 Importance AnyImportance() { return static_cast<Importance>(*rc::gen::inRange(0, 4)); }
 
-// What the queue must do, written as a list that is searched: each key with its importance and its
-// age, the greatest importance and then the oldest first.
+// A simple model of the queue: a list that is searched for the key with the greatest importance and
+// then the greatest age.
 class ReferenceQueue {
  public:
   using Place = std::pair<Importance, int>;
@@ -48,8 +48,9 @@
   int next_age_ = 0;
 };
 
-// Keys that are changed, written and requeued in any order come out by importance and then by age.
-RC_GTEST_PROP(RecordQueue, KeysComeByImportanceThenAgeWhenSomeAreRequeued, ()) {
+// Keys are dequeued by importance and then by age, in whatever order they are enqueued, written and
+// requeued.
+RC_GTEST_PROP(RecordQueue, KeysAreOrderedByImportanceThenAgeWhenSomeAreRequeued, ()) {
   RecordQueue queue;
   ReferenceQueue reference;
   std::map<std::string, ReferenceQueue::Place> in_flight;
@@ -85,6 +86,7 @@
   RC_ASSERT(queue.empty());
 }
 
+// A failed write must not overtake users' requests or lose its place to newer keys.
 TEST(RecordQueue, KeyKeepsItsPlaceWhenItIsRequeued) {
   RecordQueue queue;
   queue.Enqueue("first", Importance::kNormal);
@@ -96,7 +98,8 @@
   EXPECT_EQ(queue.Dequeue(3), expected);
 }
 
-TEST(RecordQueue, WriteIsForgottenWhenItIsRequeued) {
+// Changes of a failed write must not count as durable.
+TEST(RecordQueue, WriteIsDiscardedWhenItsKeyIsRequeued) {
   RecordQueue queue;
   queue.Enqueue("key", Importance::kNormal);
   queue.Dequeue(1);
@@ -107,12 +110,13 @@
   EXPECT_TRUE(queue.CompleteWrite("key").done.empty());
 }
 
-TEST(RecordQueue, WriteSaysWhatItCoversWhenItIsStored) {
+// Only the changes that the stored value contains may count as durable.
+TEST(RecordQueue, CompletedWriteReturnsTheChangesThatItContains) {
   RecordQueue queue;
   queue.Enqueue("key", Importance::kNormal);
   queue.Dequeue(1);
   queue.BeginWrite("key").done = {1, 2};
-  queue.Enqueue("key", Importance::kNormal);  // it changes again while the write is in flight
+  queue.Enqueue("key", Importance::kNormal);  // changed again while the write is in flight
   const std::vector<uint32_t> expected{1, 2};
   EXPECT_EQ(queue.CompleteWrite("key").done, expected);
   EXPECT_TRUE(queue.Contains("key"));
--- a/tests/core/submission_test.cc
+++ b/tests/core/submission_test.cc
@@ -1,4 +1,4 @@
-// Which submissions are accepted.
+// Which submissions are accepted, rejected or delayed.
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,9 @@
 namespace zinclead::core {
 namespace {
 
-TEST_F(CoreTest, RejectsWhatCanNeverRunAndIsBusyAboveTheLimit) {
+// A job that can never run must be rejected at once, and known jobs must be answered above the
+// limit too.
+TEST_F(CoreTest, SubmissionIsRejectedIfItCanNeverRunAndDelayedAboveTheLimit) {
   wire::JobSpec spec = testing::MakeJob("req-1");
   spec.team = "nobody";
   EXPECT_EQ(Submit(spec), SubmitOutcome::kUnprocessable);
@@ -24,7 +26,7 @@
   spec.kind = wire::JobKind::kGang;
   EXPECT_EQ(Submit(spec), SubmitOutcome::kUnprocessable);
   spec.cpus = 1;
-  spec.one_zone = spec.spread = true;  // never together
+  spec.one_zone = spec.spread = true;  // contradict each other
   EXPECT_EQ(Submit(spec), SubmitOutcome::kUnprocessable);
   spec.cpus = 3;
   spec.one_zone = spec.spread = false;
@@ -39,7 +41,7 @@
   EXPECT_EQ(Submit(spec), SubmitOutcome::kKnown);
 }
 
-// Half of the limit on active jobs is kept for the teams in equal parts.
+// One team must not use up the limit on active jobs: half of it is divided equally among the teams.
 TEST_F(CoreTest, OtherTeamsAreAcceptedWhenOneTeamFloods) {
   operator_settings_.max_active_jobs = 40;
   Restart();
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -1,4 +1,5 @@
-// The core with a store in memory, and machines whose heartbeats a test sends by hand.
+// A fixture for tests of the core: a Cluster with an in-memory store, and machines whose heartbeats
+// the test sends.
 #ifndef ZINCLEAD_TESTS_CORE_FIXTURE_H_
 #define ZINCLEAD_TESTS_CORE_FIXTURE_H_
 
@@ -17,7 +18,7 @@
 class CoreTest : public ::testing::Test {
  protected:
   CoreTest() { Restart(); }
-  // Starts a new term on what is durable.
+  // Starts a new term with the stored records, as after a failover.
   void Restart() {
     ++term_;
     cluster_ =
@@ -27,6 +28,7 @@
     cluster_->OnMachineTypes({testing::MakeType("c4", 4, 1.0)});
     Store();
   }
+  // Stores all queued records.
   void Store() {
     while (cluster_->HasQueuedRecords()) {
       for (const auto& key : cluster_->DequeueRecords(8)) {
@@ -43,7 +45,7 @@
   SubmitOutcome Submit(const wire::JobSpec& spec) {
     return cluster_->Submit(spec, now_, 1000 + now_).outcome;
   }
-  // The machine's next heartbeat, with no tasks yet.
+  // Returns the machine's next heartbeat, without tasks.
   wire::Heartbeat MakeHeartbeat(const std::string& id, uint64_t fencing_token) {
     wire::Heartbeat heartbeat;
     heartbeat.machine = id;
@@ -54,11 +56,11 @@
     heartbeat.fencing_token = fencing_token;
     return heartbeat;
   }
-  // Sends a heartbeat with the given tasks and applies the commands in the response to them.
+  // Sends a heartbeat with the given tasks, applies the commands in the response to them, and
+  // returns the commands.
   std::vector<wire::Command> SendHeartbeat(const std::string& id,
                                            std::map<std::string, wire::TaskStatus>* tasks) {
-    now_ += settings_.heartbeat_interval_s /
-            10;  // longer than the least time between two scheduling cycles
+    now_ += settings_.heartbeat_interval_s / 10;  // longer than the minimum cycle interval
     wire::Heartbeat heartbeat = MakeHeartbeat(id, fencing_token_);
     for (const auto& [name, task] : *tasks) heartbeat.tasks.push_back(task);
     const auto result = cluster_->OnHeartbeat(heartbeat, now_);
@@ -79,14 +81,14 @@
     Store();
     return result.commands;
   }
-  // Sends heartbeats until the machine is up, recorded and has acknowledged this term.
+  // Sends heartbeats until the machine is up, recorded, and has acknowledged this term.
   void BringUp(const std::string& id, std::map<std::string, wire::TaskStatus>* tasks) {
-    SendHeartbeat(id, tasks);  // it learns the term: a machine that does not show it is not adopted
+    SendHeartbeat(id, tasks);  // the response carries the term, which adoption requires
     SendHeartbeat(id, tasks);
     SendHeartbeat(id, tasks);
   }
 
-  // Job req-1 of one task runs on machine i-1.
+  // Starts the single task of job req-1 on machine i-1.
   void RunOneTask(std::map<std::string, wire::TaskStatus>* tasks) {
     Submit(testing::MakeJob("req-1"));
     Store();
@@ -98,7 +100,7 @@
   config::OperatorSettings operator_settings_;
   double now_ = 100;
   uint64_t term_ = 0;
-  uint64_t fencing_token_ = 0;  // the newest that the machines have seen
+  uint64_t fencing_token_ = 0;  // the highest that the machines have seen
   uint64_t sequence_ = 0;
   std::map<std::string, wire::Json> store_;
   std::unique_ptr<Cluster> cluster_;
--- a/tests/task_set_test.cc
+++ b/tests/task_set_test.cc
@@ -9,6 +9,7 @@
 namespace zinclead::core {
 namespace {
 
+// A set that changes in the store would lose completions or repeat tasks.
 RC_GTEST_PROP(TaskSet, IsUnchangedWhenEncodedAndDecoded, ()) {
   const auto bits = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
   const auto count = static_cast<uint32_t>(bits.size());
@@ -18,7 +19,8 @@
   RC_ASSERT(decoded == bits);
 }
 
-TEST(TaskSet, IsRefusedWhenTheTextIsNotOne) {
+// A malformed record must not mark tasks as done that are not.
+TEST(TaskSet, MalformedTextIsRejected) {
   for (const char* text : {"x", "1,", "3-1", "5", "1--2", "1,,2", "4294967296"}) {
     EXPECT_FALSE(DecodeTaskSet(text, 5, [](uint32_t) {})) << text;
   }
--- a/tests/unreachable_machine.h
+++ b/tests/unreachable_machine.h
@@ -1,4 +1,4 @@
-// A machine for tests of the core that has lost its downlink.
+// A simulated machine that has lost its downlink, for tests of the core.
 #ifndef ZINCLEAD_TESTS_UNREACHABLE_MACHINE_H_
 #define ZINCLEAD_TESTS_UNREACHABLE_MACHINE_H_
 
@@ -10,8 +10,8 @@
 
 namespace zinclead::core {
 
-// A machine that has lost its downlink: its heartbeats arrive, but no response reaches it. It goes
-// on sending heartbeats for ever, in a new agent epoch after each lease.
+// A machine that has lost its downlink: its heartbeats arrive, but no response reaches it. It keeps
+// sending heartbeats, in a new agent epoch after each lease.
 class UnreachableMachine {
  public:
   UnreachableMachine(Cluster* cluster, const config::Settings& settings, std::string id,
@@ -21,12 +21,12 @@
         id_(std::move(id)),
         fencing_token_(fencing_token),
         sequence_(sequence) {}
-  // Sends its next heartbeat. Returns whether it was answered.
+  // Sends the next heartbeat. Returns whether it was accepted.
   bool Heartbeat(double now) {
-    if (epoch_began_at_ == 0) epoch_began_at_ = now;
-    if (now - epoch_began_at_ > settings_.lease_s) {
+    if (epoch_started_at_ == 0) epoch_started_at_ = now;
+    if (now - epoch_started_at_ > settings_.lease_s) {
       ++agent_epoch_;
-      epoch_began_at_ = now;
+      epoch_started_at_ = now;
     }
     wire::Heartbeat heartbeat;
     heartbeat.machine = id_;
@@ -45,7 +45,7 @@
   uint64_t agent_epoch_ = 1;
   uint64_t fencing_token_;
   uint64_t sequence_;
-  double epoch_began_at_ = 0;
+  double epoch_started_at_ = 0;
 };
 
 }  // namespace zinclead::core
