--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -11,25 +11,24 @@
 using state::Outcome;
 
 constexpr double kMinLeaseS = 1;
-// Renewals in the duration of a lease.
 constexpr double kRenewalsPerLease = 4;
-// Share of the lease's duration that a renewal may take. A node that falls behind sees an answer
-// late, and giving up on an answer costs a new connection besides.
-constexpr double kRenewalTimeoutShare = 0.9;
-// An answer that is late or lost must not hold up the next renewal.
+// Nearly the whole lease: an overloaded node reads responses late, and a timeout closes the
+// connection.
+constexpr double kRenewalTimeoutShareOfLease = 0.9;
+// More than one, so that a late or lost response does not delay the next renewal.
 constexpr int kMaxRenewalsInFlight = 2;
-// By this node's clock the lease ends this share earlier, far more than the clocks' drift.
-constexpr double kClockDriftMargin = 0.01;
+// The node treats its lease as expired early by this share, which far exceeds the clocks' drift.
+constexpr double kClockDriftShareOfLease = 0.01;
 
-// What the leader key holds.
+// Value of the leader key.
 struct LeaderRecord {
   std::string node;
   uint64_t term = 0;
-  uint64_t lease = 0;
+  uint64_t lease_id = 0;
 };
 
 wire::Json ToJson(const LeaderRecord& record) {
-  return {{"node", record.node}, {"term", record.term}, {"lease", record.lease}};
+  return {{"node", record.node}, {"term", record.term}, {"lease", record.lease_id}};
 }
 
 std::optional<LeaderRecord> ParseLeaderRecord(const wire::Json& json) {
@@ -47,12 +46,12 @@
 }  // namespace
 
 Elector::Elector(Timers* timers, state::LeaseStore* store, const config::Settings& settings,
-                 const config::OperatorSettings& operator_settings, Hooks hooks)
+                 const config::OperatorSettings& operator_settings, Callbacks callbacks)
     : timers_(timers),
       store_(store),
       node_(settings.node),
       lease_s_(std::max(kMinLeaseS, operator_settings.leader_lease_share * settings.cancel_s)),
-      hooks_(std::move(hooks)) {}
+      callbacks_(std::move(callbacks)) {}
 
 void Elector::Start() { PollLeader(); }
 
@@ -60,17 +59,17 @@
 
 double Elector::RetryInterval() const { return RenewalInterval() / 2; }
 
-double Elector::ValidUntil(double requested_at) const {
-  return requested_at + lease_s_ * (1 - kClockDriftMargin);
+double Elector::LeaseValidUntil(double requested_at) const {
+  return requested_at + lease_s_ * (1 - kClockDriftShareOfLease);
 }
 
 void Elector::SchedulePoll(double delay_s) {
   state_ = State::kIdle;
-  timers_->After(Timers::Slot::kPoll, delay_s, [this] { PollLeader(); });
+  timers_->StartTimer(Timers::Slot::kPoll, delay_s, [this] { PollLeader(); });
 }
 
 void Elector::PollLeader() {
-  if (leading()) return;
+  if (is_leading()) return;
   state_ = State::kPolling;
   store_->Get(kLeaderKey, core::Importance::kLeadership,
               [this](Outcome outcome, const std::optional<wire::StoreItem>& item,
@@ -78,9 +77,9 @@
 }
 
 void Elector::OnLeaderRead(Outcome outcome, const std::optional<wire::StoreItem>& item) {
-  if (leading()) return;
+  if (is_leading()) return;
   if (outcome == Outcome::kNotFound || outcome == Outcome::kOk) {
-    store_contact_at_ = timers_->Now();
+    last_store_response_at_ = timers_->Now();
   }
   if (outcome == Outcome::kNotFound) return Campaign();
   if (outcome != Outcome::kOk) return SchedulePoll(RetryInterval());
@@ -90,25 +89,26 @@
     return SchedulePoll(lease_s_);
   }
   if (record->node == node_) {
-    // Left from before a restart, or from an election whose answer was lost. Nothing acts under
-    // this lease any more, so there is no need to wait until it expires.
+    // This node created the key before a restart, or in an election whose response was lost. It
+    // does not act as leader under that lease, so the lease can be revoked before it expires.
     spdlog::info("revoking this node's earlier lease of term {}", record->term);
-    store_->Revoke(record->lease);
+    store_->Revoke(record->lease_id);
     return SchedulePoll(RenewalInterval() / 4);
   }
   ObserveLeader(record->node, record->term);
   Watch(item->version);
 }
 
-void Elector::Watch(uint64_t after) {
+void Elector::Watch(uint64_t after_revision) {
   state_ = State::kWatching;
-  store_->Watch(kLeaderKey, after, 2 * lease_s_,
+  store_->Watch(kLeaderKey, after_revision, 2 * lease_s_,
                 [this](Outcome outcome) { OnWatchEnded(outcome); });
 }
 
 void Elector::OnWatchEnded(Outcome outcome) {
-  if (leading()) return;
-  // Whatever happened, the key itself is read next; during an outage not without a pause.
+  if (is_leading()) return;
+  // The key is read again: at once if the watch succeeded, else after a delay, so that an outage
+  // does not cause a flood of requests.
   if (outcome == Outcome::kOk) return PollLeader();
   SchedulePoll(RetryInterval());
 }
@@ -129,107 +129,109 @@
 }
 
 void Elector::OnTermRead(Outcome outcome, const std::optional<wire::StoreItem>& item) {
-  if (leading()) return;
+  if (is_leading()) return;
   if (outcome != Outcome::kOk && outcome != Outcome::kNotFound) {
     return SchedulePoll(RetryInterval());
   }
   uint64_t last_term = 0;
-  uint64_t version = 0;
+  uint64_t term_version = 0;
   if (item) {
-    version = item->version;
+    term_version = item->version;
     if (item->value.is_number_unsigned()) last_term = item->value.get<uint64_t>();
   }
-  RequestLease(last_term + 1, version);
+  RequestLease(last_term + 1, term_version);
 }
 
 void Elector::RequestLease(uint64_t term, uint64_t term_version) {
   const double requested_at = timers_->Now();
   store_->Grant(lease_s_,
-                [this, term, term_version, requested_at](Outcome outcome, uint64_t lease) {
-                  if (leading()) return;
+                [this, term, term_version, requested_at](Outcome outcome, uint64_t lease_id) {
+                  if (is_leading()) return;
                   if (outcome != Outcome::kOk) return SchedulePoll(RetryInterval());
-                  CommitElection({term, term_version, lease, requested_at});
+                  CommitElection({term, term_version, lease_id, requested_at});
                 });
 }
 
 void Elector::CommitElection(const Candidacy& candidacy) {
-  const LeaderRecord record{node_, candidacy.term, candidacy.lease};
+  const LeaderRecord record{node_, candidacy.term, candidacy.lease_id};
   store_->CompareAndSwap({{kLeaderKey, 0}, {kTermKey, candidacy.term_version}},
-                         {{kLeaderKey, ToJson(record), candidacy.lease},
+                         {{kLeaderKey, ToJson(record), candidacy.lease_id},
                           {kTermKey, wire::Json(candidacy.term), std::nullopt}},
                          core::Importance::kLeadership,
                          [this, candidacy](Outcome outcome, uint64_t revision,
                                            const std::vector<std::string>& /*failed*/) {
-                           OnElectionAnswered(candidacy, outcome, revision);
+                           OnElectionResponse(candidacy, outcome, revision);
                          });
 }
 
-void Elector::OnElectionAnswered(const Candidacy& candidacy, Outcome outcome, uint64_t revision) {
-  if (leading()) return;
+void Elector::OnElectionResponse(const Candidacy& candidacy, Outcome outcome, uint64_t revision) {
+  if (is_leading()) return;
   if (outcome == Outcome::kOk) return BecomeLeader(candidacy, revision);
-  // Without an answer the election may have succeeded, or may yet. The node does not lead that
-  // term: the next poll finds the key, if it is this node's, and revokes its lease.
-  if (outcome != Outcome::kUnknown) store_->Revoke(candidacy.lease);
+  // With kUnknown the transaction may have been executed, or may still be. This node does not lead
+  // that term: if the leader key names this node, the next poll revokes its lease.
+  if (outcome != Outcome::kUnknown) store_->Revoke(candidacy.lease_id);
   SchedulePoll(outcome == Outcome::kConflict ? 0 : RetryInterval());
 }
 
 void Elector::BecomeLeader(const Candidacy& candidacy, uint64_t revision) {
   state_ = State::kLeading;
   renewals_in_flight_ = 0;
-  lease_ = candidacy.lease;
+  lease_id_ = candidacy.lease_id;
   term_ = candidacy.term;
-  valid_until_ = ValidUntil(candidacy.requested_at);
+  lease_valid_until_ = LeaseValidUntil(candidacy.requested_at);
   spdlog::info("elected leader of term {}", term_);
   ObserveLeader(node_, term_);
   ScheduleRenewal();
-  hooks_.on_elected(candidacy.term, {kLeaderKey, revision});
+  callbacks_.on_elected(candidacy.term, {kLeaderKey, revision});
 }
 
 void Elector::ScheduleRenewal() {
-  timers_->After(Timers::Slot::kRenew, RenewalInterval(), [this] { Renew(); });
+  timers_->StartTimer(Timers::Slot::kRenew, RenewalInterval(), [this] { Renew(); });
 }
 
 void Elector::Renew() {
-  if (!leading()) return;
+  if (!is_leading()) return;
   ScheduleRenewal();
   if (renewals_in_flight_ >= kMaxRenewalsInFlight) return;
   ++renewals_in_flight_;
   const double requested_at = timers_->Now();
-  store_->Renew(lease_, lease_s_ * kRenewalTimeoutShare,
-                [this, lease = lease_, requested_at](Outcome outcome, uint64_t /*lease*/) {
-                  OnRenewalAnswered(lease, requested_at, outcome);
+  store_->Renew(lease_id_, lease_s_ * kRenewalTimeoutShareOfLease,
+                [this, lease_id = lease_id_, requested_at](Outcome outcome, uint64_t /*lease*/) {
+                  OnRenewalResponse(lease_id, requested_at, outcome);
                 });
 }
 
-void Elector::OnRenewalAnswered(uint64_t lease, double requested_at, Outcome outcome) {
-  if (!leading() || lease != lease_) return;
+void Elector::OnRenewalResponse(uint64_t lease_id, double requested_at, Outcome outcome) {
+  if (!is_leading() || lease_id != lease_id_) return;
   --renewals_in_flight_;
   if (outcome == Outcome::kNotFound) return StepDown("the lease expired");
-  // Anything else is an outage, or the state service rejects only this node: the lease stays as it
-  // is, and expires by itself.
+  // After any other failure the node keeps renewing: the state service may be unavailable, or
+  // reject only this node. Unless a renewal succeeds in time, the lease expires.
   if (outcome != Outcome::kOk) return;
-  if (timers_->Now() >= valid_until_) spdlog::info("the lease of term {} is valid again", term_);
-  valid_until_ = std::max(valid_until_, ValidUntil(requested_at));
+  if (timers_->Now() >= lease_valid_until_) {
+    spdlog::info("the lease of term {} is valid again", term_);
+  }
+  lease_valid_until_ = std::max(lease_valid_until_, LeaseValidUntil(requested_at));
 }
 
 void Elector::StepDown(const char* reason) {
-  if (!leading()) return;
+  if (!is_leading()) return;
   spdlog::info("no longer leader of term {}: {}", term_, reason);
   state_ = State::kIdle;
   timers_->Cancel(Timers::Slot::kRenew);
-  store_->Revoke(lease_);
+  store_->Revoke(lease_id_);
   if (leader_ == node_) leader_.clear();
-  hooks_.on_leadership_lost();
+  callbacks_.on_leadership_lost();
   SchedulePoll(0);
 }
 
 void Elector::OnTermSeen(uint64_t term) {
-  if (leading() && term > term_) StepDown("a message carried a higher term");
+  if (is_leading() && term > term_) StepDown("a message carried a higher term");
 }
 
 void Elector::OnLeaderAnnouncement(const std::string& node, uint64_t term) {
   OnTermSeen(term);
-  if (!leading() && !node.empty()) ObserveLeader(node, term);
+  if (!is_leading() && !node.empty()) ObserveLeader(node, term);
 }
 
 void Elector::OnFenced() { StepDown("a write was fenced off"); }
--- a/src/service/cloud_poller.cc
+++ b/src/service/cloud_poller.cc
@@ -14,8 +14,8 @@
 
 using core::Cluster;
 
-// Polls for machine types in a heartbeat interval, until they are known.
-constexpr double kTypesPollsPerHeartbeat = 3;
+// Until the machine types have been received.
+constexpr double kTypesPollsPerHeartbeatInterval = 3;
 
 Cluster::ScaleOutOutcome ToOutcome(cloud::ScaleOutResult result) {
   switch (result) {
@@ -42,15 +42,16 @@
       on_change_(std::move(on_change)) {}
 
 void CloudPoller::Poll(double now) {
-  if (now >= next_types_poll_) PollMachineTypes(now);
-  if (now >= next_list_poll_) PollMachineList(now);
+  if (now >= next_types_poll_at_) PollMachineTypes(now);
+  if (now >= next_list_poll_at_) PollMachineList(now);
 }
 
 void CloudPoller::PollMachineTypes(double now) {
-  const bool known =
+  const bool has_types =
       cluster_->WithLock([](const Cluster& cluster) { return cluster.HasMachineTypes(); });
-  next_types_poll_ = now + (known ? operator_settings_.idle_s
-                                  : settings_.heartbeat_interval_s / kTypesPollsPerHeartbeat);
+  next_types_poll_at_ =
+      now + (has_types ? operator_settings_.idle_s
+                       : settings_.heartbeat_interval_s / kTypesPollsPerHeartbeatInterval);
   cloud_->ListMachineTypes(
       guard_.Wrap([this](const std::optional<std::vector<wire::MachineType>>& types) {
         if (!types) return;
@@ -60,7 +61,7 @@
 }
 
 void CloudPoller::PollMachineList(double now) {
-  next_list_poll_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
+  next_list_poll_at_ = now + std::max(2 * settings_.cloud_list_lag_s, settings_.lease_s / 2);
   cloud_->ListMachines(
       guard_.Wrap([this](const std::optional<std::vector<wire::ListedMachine>>& machines) {
         if (!machines) return;
@@ -70,7 +71,7 @@
       }));
 }
 
-void CloudPoller::Issue(const core::CloudActions& actions) {
+void CloudPoller::Execute(const core::CloudActions& actions) {
   for (const wire::ScaleOutRequest& request : actions.scale_out) ScaleOut(request);
   const std::vector<std::string>& machines = actions.scale_in;
   for (size_t first = 0; first < machines.size(); first += wire::kMaxDeleteNames) {
@@ -86,11 +87,11 @@
   cloud_->ScaleOut(
       request, guard_.Wrap([this, name = request.name](cloud::ScaleOutResult result,
                                                        const std::vector<std::string>& machines) {
-        OnScaleOutAnswered(name, result, machines);
+        OnScaleOutResponse(name, result, machines);
       }));
 }
 
-void CloudPoller::OnScaleOutAnswered(const std::string& name, cloud::ScaleOutResult result,
+void CloudPoller::OnScaleOutResponse(const std::string& name, cloud::ScaleOutResult result,
                                      const std::vector<std::string>& machines) {
   const Cluster::ScaleOutOutcome outcome = ToOutcome(result);
   spdlog::debug("scale out {}: {} machines, outcome {}", name, machines.size(),
--- a/src/service/cloud_poller.h
+++ b/src/service/cloud_poller.h
@@ -1,5 +1,5 @@
-// The leader's dealings with the cloud: what it offers, what runs there, and what the scheduler
-// decided to scale out or in.
+// The leader's calls to the cloud: polls the machine types and the list of machines, and sends the
+// scheduler's decisions to scale out and in.
 #ifndef ZINCLEAD_SERVICE_CLOUD_POLLER_H_
 #define ZINCLEAD_SERVICE_CLOUD_POLLER_H_
 
@@ -16,26 +16,27 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread. Answers that arrive after its end are dropped. All arguments but
-// `cluster` must outlive it.
+// All methods run on the I/O thread. Responses that arrive after the poller was destroyed are
+// dropped. All constructor arguments but `cluster` and `on_change` must outlive the poller.
 class CloudPoller {
  public:
-  // `on_change` runs after each answer that was handed to the cluster.
+  // `on_change` runs after each response that was passed to the cluster.
   CloudPoller(cloud::CloudClient* cloud, const config::Settings& settings,
               const config::OperatorSettings& operator_settings,
               std::shared_ptr<core::LockedCluster> cluster, std::function<void()> on_change);
 
-  // Asks for the machine types and the list of machines where that is due.
+  // Requests the machine types and the list of machines if their next poll is due. `now`: seconds
+  // on the steady clock.
   void Poll(double now);
 
-  // Sends the cloud what a scheduling cycle decided.
-  void Issue(const core::CloudActions& actions);
+  // Sends the scale-out and scale-in decisions of a scheduling cycle to the cloud.
+  void Execute(const core::CloudActions& actions);
 
  private:
   void PollMachineTypes(double now);
   void PollMachineList(double now);
   void ScaleOut(const wire::ScaleOutRequest& request);
-  void OnScaleOutAnswered(const std::string& name, cloud::ScaleOutResult result,
+  void OnScaleOutResponse(const std::string& name, cloud::ScaleOutResult result,
                           const std::vector<std::string>& machines);
   void Terminate(const std::vector<std::string>& machines);
 
@@ -44,8 +45,8 @@
   const config::OperatorSettings& operator_settings_;
   const std::shared_ptr<core::LockedCluster> cluster_;
   const std::function<void()> on_change_;
-  double next_types_poll_ = 0;
-  double next_list_poll_ = 0;
+  double next_types_poll_at_ = 0;
+  double next_list_poll_at_ = 0;
   net::CallbackGuard guard_;
 };
 
--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -14,12 +14,12 @@
 using core::CancelOutcome;
 using core::SubmitOutcome;
 
-// Share of the client's timeout after which a request that waits for durability is refused, so that
-// the client has the answer before it gives up.
-constexpr double kPendingTimeoutShare = 0.6;
+// A waiting request gets 503 after this share of the client's timeout, so that the response arrives
+// before the client gives up.
+constexpr double kMaxWaitShareOfClientTimeout = 0.6;
 
-constexpr char kStoreUnreachable[] = "the state service does not answer";
-constexpr char kRecordPending[] = "the submission is being recorded";
+constexpr char kStoreUnreachable[] = "the state service does not respond";
+constexpr char kRecordNotStored[] = "the record of the job is not stored yet";
 
 net::Response JobStatus(const std::string& job_id, wire::JobPhase phase) {
   return {200, 0, wire::JobStatusBody(job_id, phase)};
@@ -32,13 +32,13 @@
     : cluster_(std::move(cluster)), elector_(elector), on_change_(std::move(on_change)) {}
 
 void JobRequests::Handle(const UserRequest& request, const Reply& reply) {
-  std::visit([&](const auto& typed) { Handle(typed, reply); }, request);
+  std::visit([&](const auto& typed_request) { Handle(typed_request, reply); }, request);
 }
 
 void JobRequests::Handle(const Submission& submission, const Reply& reply) {
   const wire::JobSpec& spec = submission.spec;
   const double now = net::SteadyNow();
-  if (!elector_->Valid(now)) return SubmitWithoutLease(spec.id, reply);
+  if (!elector_->HasValidLease(now)) return SubmitWithoutLease(spec.id, reply);
   core::SubmitResult result;
   std::optional<JobView> view;
   cluster_->WithLock([&](core::Cluster& cluster) {
@@ -52,27 +52,27 @@
       spdlog::debug("job {} accepted: {} tasks of {}", spec.id, spec.tasks, spec.job_class);
       [[fallthrough]];
     case SubmitOutcome::kPendingStore:
-      pending_.Add(spec.id, PendingRequests::Kind::kSubmission,
-                   now + kPendingTimeoutShare * wire::kSubmitTimeoutS, reply);
+      pending_requests_.Add(spec.id, PendingRequests::Kind::kSubmission,
+                            now + kMaxWaitShareOfClientTimeout * wire::kSubmitTimeoutS, reply);
       return on_change_();
     case SubmitOutcome::kUnprocessable:
       return reply({422, 0, wire::ErrorBody(result.reason)});
     case SubmitOutcome::kBusy:
-      return reply(TooManyRequests(result.retry_after_s, "too many active jobs, come back later"));
+      return reply(TooManyRequests(result.retry_after_s, "too many active jobs; retry later"));
     case SubmitOutcome::kUndecided:
       return reply(ServiceUnavailable("the machine types are not known yet"));
   }
 }
 
-// Nothing can be made durable now.
+// A new submission cannot be made durable now, so only the end of an earlier one is reported.
 void JobRequests::SubmitWithoutLease(const std::string& job_id, const Reply& reply) {
-  const std::optional<JobView> view = View(job_id);
+  const std::optional<JobView> view = GetJobView(job_id);
   if (view && view->final) return reply(JobStatus(job_id, view->phase));
   reply(ServiceUnavailable(kStoreUnreachable));
 }
 
 void JobRequests::Handle(const MalformedSubmission& submission, const Reply& reply) {
-  const VisibleState state = GetVisibleState(submission.job_id);
+  const ReportableState state = GetReportableState(submission.job_id);
   if (state.view) return reply(JobStatus(submission.job_id, state.view->phase));
   if (state.unavailable_reason != nullptr) {
     return reply(ServiceUnavailable(state.unavailable_reason));
@@ -81,7 +81,7 @@
 }
 
 void JobRequests::Handle(const StatusQuery& query, const Reply& reply) {
-  const VisibleState state = GetVisibleState(query.job_id);
+  const ReportableState state = GetReportableState(query.job_id);
   if (state.view) {
     const JobView& view = *state.view;
     return reply(
@@ -96,7 +96,7 @@
 void JobRequests::Handle(const Cancellation& cancellation, const Reply& reply) {
   const std::string& job_id = cancellation.job_id;
   const double now = net::SteadyNow();
-  if (!elector_->Valid(now)) return reply(ServiceUnavailable(kStoreUnreachable));
+  if (!elector_->HasValidLease(now)) return reply(ServiceUnavailable(kStoreUnreachable));
   const CancelOutcome outcome =
       cluster_->WithLock([&](core::Cluster& cluster) { return cluster.Cancel(job_id); });
   switch (outcome) {
@@ -105,32 +105,32 @@
     case CancelOutcome::kDone:
       return reply(JobStatus(job_id, wire::JobPhase::kDone));
     case CancelOutcome::kPendingStore:
-      pending_.Add(job_id, PendingRequests::Kind::kCancellation,
-                   now + kPendingTimeoutShare * wire::kQueryTimeoutS, reply);
+      pending_requests_.Add(job_id, PendingRequests::Kind::kCancellation,
+                            now + kMaxWaitShareOfClientTimeout * wire::kQueryTimeoutS, reply);
       return on_change_();
     case CancelOutcome::kUnknown:
       return reply(UnknownJob());
     case CancelOutcome::kUndecided:
-      return reply(ServiceUnavailable(kRecordPending));
+      return reply(ServiceUnavailable(kRecordNotStored));
   }
 }
 
 void JobRequests::OnDurable(const std::string& job_id) {
-  if (!pending_.Has(job_id)) return;
-  const std::optional<JobView> view = View(job_id);
-  if (view) pending_.Complete(job_id, *view, elector_->Valid(net::SteadyNow()));
+  if (!pending_requests_.Has(job_id)) return;
+  const std::optional<JobView> view = GetJobView(job_id);
+  if (view) pending_requests_.Complete(job_id, *view, elector_->HasValidLease(net::SteadyNow()));
 }
 
-std::optional<JobRequests::JobView> JobRequests::View(const std::string& job_id) {
+std::optional<JobRequests::JobView> JobRequests::GetJobView(const std::string& job_id) {
   return cluster_->WithLock([&](const core::Cluster& cluster) { return cluster.View(job_id); });
 }
 
-JobRequests::VisibleState JobRequests::GetVisibleState(const std::string& job_id) {
-  const std::optional<JobView> view = View(job_id);
-  const bool lease_valid = elector_->Valid(net::SteadyNow());
-  if (view && (view->final || (lease_valid && view->stored))) return {view, nullptr};
-  if (!lease_valid) return {std::nullopt, kStoreUnreachable};
-  if (view) return {std::nullopt, kRecordPending};
+JobRequests::ReportableState JobRequests::GetReportableState(const std::string& job_id) {
+  const std::optional<JobView> view = GetJobView(job_id);
+  const bool has_valid_lease = elector_->HasValidLease(net::SteadyNow());
+  if (view && (view->final || (has_valid_lease && view->stored))) return {view, nullptr};
+  if (!has_valid_lease) return {std::nullopt, kStoreUnreachable};
+  if (view) return {std::nullopt, kRecordNotStored};
   return {};
 }
 
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -10,34 +10,36 @@
 namespace zinclead::service {
 namespace {
 
-constexpr double kTicksPerHeartbeat = 4;
-constexpr double kLoadRetriesPerHeartbeat = 10;
+constexpr double kTicksPerHeartbeatInterval = 4;
+constexpr double kLoadRetriesPerHeartbeatInterval = 10;
 
-std::shared_ptr<core::LockedCluster> MakeCluster(const Leader::Dependencies& node, uint64_t term) {
+std::shared_ptr<core::LockedCluster> MakeCluster(const Leader::Dependencies& dependencies,
+                                                 uint64_t term) {
   return std::make_shared<core::LockedCluster>(std::make_unique<core::Cluster>(
-      *node.settings, *node.operator_settings, term, net::SteadyNow(), net::WallNow(),
-      std::random_device()(), net::SteadyNow));
+      *dependencies.settings, *dependencies.operator_settings, term, net::SteadyNow(),
+      net::WallNow(), std::random_device()(), net::SteadyNow));
 }
 
 }  // namespace
 
 Leader::Leader(Dependencies dependencies, uint64_t term, wire::VersionPrecondition fence)
-    : node_(std::move(dependencies)),
+    : dependencies_(std::move(dependencies)),
       term_(term),
       fence_(std::move(fence)),
       load_started_at_(net::SteadyNow()),
-      cluster_(MakeCluster(node_, term)),
-      record_loader_(node_.loop, node_.store, cluster_,
-                     node_.settings->heartbeat_interval_s / kLoadRetriesPerHeartbeat,
-                     [this](RecordLoader::LoadedRecords records) { OnLoaded(std::move(records)); }),
-      cloud_poller_(node_.cloud, *node_.settings, *node_.operator_settings, cluster_,
-                    [this] { OnClusterChanged(); }),
-      job_requests_(cluster_, node_.elector, [this] { OnClusterChanged(); }) {
+      cluster_(MakeCluster(dependencies_, term)),
+      record_loader_(
+          dependencies_.loop, dependencies_.store, cluster_,
+          dependencies_.settings->heartbeat_interval_s / kLoadRetriesPerHeartbeatInterval,
+          [this](RecordLoader::LoadedRecords records) { OnLoaded(std::move(records)); }),
+      cloud_poller_(dependencies_.cloud, *dependencies_.settings, *dependencies_.operator_settings,
+                    cluster_, [this] { OnClusterChanged(); }),
+      job_requests_(cluster_, dependencies_.elector, [this] { OnClusterChanged(); }) {
   record_loader_.Start();
 }
 
 Leader::~Leader() {
-  node_.scheduler_thread->Detach();
+  dependencies_.scheduler_thread->Detach();
   job_requests_.Abort();
 }
 
@@ -45,9 +47,10 @@
   const double now = net::SteadyNow();
   const size_t record_count = records.count;
   committer_ = std::make_unique<state::Committer>(
-      node_.loop, node_.store, *node_.settings, cluster_.get(), fence_, std::move(records.versions),
+      dependencies_.loop, dependencies_.store, *dependencies_.settings, cluster_.get(), fence_,
+      std::move(records.versions),
       state::Committer::Hooks{[this] { OnStored(); },
-                              [elector = node_.elector] { elector->OnFenced(); }});
+                              [elector = dependencies_.elector] { elector->OnFenced(); }});
   size_t active_jobs = 0;
   size_t machines = 0;
   cluster_->WithLock([&](core::Cluster& cluster) {
@@ -58,31 +61,33 @@
   });
   spdlog::info("term {}: {} records loaded in {:.3f} s, {} active jobs, {} machines", term_,
                record_count, now - load_started_at_, active_jobs, machines);
-  node_.scheduler_thread->Attach(cluster_);
+  dependencies_.scheduler_thread->Attach(cluster_);
   OnClusterChanged();
   OnTick();
 }
 
-// A leader answers workers while its lease is valid, and for a limited time after, so that a common
-// outage of the state service ends no running work. But an isolated leader has a successor by now:
-// if it went on answering its workers, they would not look for the successor, and their work would
-// be lost to it.
+// A leader renews workers' leases while its own lease is valid and, unless it is isolated, for up
+// to KeepAliveLimit after, so that an outage of the state service does not stop running tasks. An
+// isolated leader must stop: its workers would not contact the new leader, which would then treat
+// their tasks as lost.
 bool Leader::MayRenewWorkerLeases(double now) const {
-  if (!loaded()) return false;
-  const double valid_until = node_.elector->valid_until();
-  if (now < valid_until) return true;
-  return now < valid_until + core::Cluster::KeepAliveLimit(*node_.settings) && !node_.isolated();
+  if (!is_loaded()) return false;
+  const double lease_valid_until = dependencies_.elector->lease_valid_until();
+  if (now < lease_valid_until) return true;
+  return now < lease_valid_until + core::Cluster::KeepAliveLimit(*dependencies_.settings) &&
+         !dependencies_.is_isolated();
 }
 
 void Leader::OnTick() {
-  node_.loop->StartTimer(&tick_timer_, node_.settings->heartbeat_interval_s / kTicksPerHeartbeat,
-                         [this] { OnTick(); });
+  dependencies_.loop->StartTimer(
+      &tick_timer_, dependencies_.settings->heartbeat_interval_s / kTicksPerHeartbeatInterval,
+      [this] { OnTick(); });
   const double now = net::SteadyNow();
   job_requests_.Expire(now);
   OnClusterChanged();
   cloud_poller_.Poll(now);
-  if (now >= next_summary_) {
-    next_summary_ = now + node_.settings->lease_s;
+  if (now >= next_summary_at_) {
+    next_summary_at_ = now + dependencies_.settings->lease_s;
     LogSummary();
   }
 }
@@ -92,7 +97,7 @@
     spdlog::info("term {}: {} active jobs, {} pending tasks, {} machines{}", term_,
                  cluster.ActiveJobs(), cluster.PendingTasks(), cluster.machines().size(),
                  cluster.reconciled() ? "" : ", failover in progress");
-    if (node_.operator_settings->admission.fair == 0) return;
+    if (dependencies_.operator_settings->admission.fair == 0) return;
     const admission::AdmissionPolicy& admission = cluster.admission();
     const admission::Counters& counts = admission.counters();
     spdlog::info(
@@ -104,9 +109,10 @@
 }
 
 std::optional<wire::CreditGrant> Leader::MakeCreditGrant() {
-  if (node_.operator_settings->admission.fair == 0) return std::nullopt;
-  if (!loaded()) {
-    // Nothing can be decided yet: followers forward only what they do without a grant.
+  if (dependencies_.operator_settings->admission.fair == 0) return std::nullopt;
+  if (!is_loaded()) {
+    // Before the records are loaded the leader cannot decide on submissions. The grant names no
+    // team, so followers forward only at the rate that they use without a grant.
     wire::CreditGrant none;
     none.limited = true;
     none.by_tier.resize(admission::kTiers);
@@ -117,12 +123,12 @@
 }
 
 bool Leader::AllPeersAcknowledgedTerm() const {
-  return peers_acknowledging_term_.size() >= node_.settings->peers.size();
+  return peers_acknowledging_term_.size() >= dependencies_.settings->peers.size();
 }
 
 void Leader::OnPeerAcknowledgedTerm(const std::string& peer) {
-  const bool first_time = peers_acknowledging_term_.insert(peer).second;
-  if (!first_time || !loaded() || !AllPeersAcknowledgedTerm()) return;
+  const bool is_first = peers_acknowledging_term_.insert(peer).second;
+  if (!is_first || !is_loaded() || !AllPeersAcknowledgedTerm()) return;
   cluster_->WithLock(
       [](core::Cluster& cluster) { cluster.OnEarlierLeadersEnded(net::SteadyNow()); });
   OnClusterChanged();
@@ -140,28 +146,31 @@
 }
 
 void Leader::OnUserRequest(const UserRequest& request, const Reply& reply) {
-  if (!loaded()) return reply(ServiceUnavailable("the leader is loading its records"));
+  if (!is_loaded()) return reply(ServiceUnavailable("the leader is still loading its records"));
   job_requests_.Handle(request, reply);
 }
 
 net::Response Leader::OnHeartbeat(const wire::Heartbeat& heartbeat) {
   const double now = net::SteadyNow();
-  if (!MayRenewWorkerLeases(now)) return ServiceUnavailable("not entitled to answer workers now");
-  // Heartbeats are most of what a leader serves: one lock covers the change and what it leaves to
-  // do.
+  if (!MayRenewWorkerLeases(now)) {
+    return ServiceUnavailable("the leader cannot renew worker leases now");
+  }
+  // Most requests are heartbeats, so the lock is taken only once for each.
   core::Cluster::HeartbeatResult result;
   PendingWork work;
   cluster_->WithLock([&](core::Cluster& cluster) {
-    result = cluster.OnHeartbeat(heartbeat, now, !node_.elector->Valid(now));
+    result = cluster.OnHeartbeat(heartbeat, now, !dependencies_.elector->HasValidLease(now));
     work = FindPendingWork(cluster);
   });
   StartPendingWork(work);
-  if (result.reject) return ServiceUnavailable("a late report");
+  if (result.reject) {
+    return ServiceUnavailable("the heartbeat is stale, or its machine is terminated");
+  }
   return {200, 0, wire::CommandsBody(term_, result.commands)};
 }
 
 void Leader::Apply(const core::CloudActions& actions) {
-  cloud_poller_.Issue(actions);
+  cloud_poller_.Execute(actions);
   OnClusterChanged();
 }
 
@@ -172,7 +181,8 @@
 }
 
 void Leader::StartPendingWork(const PendingWork& work) {
-  node_.scheduler_thread->OnClusterChanged(work.next_cycle_at, node_.elector->valid_until());
+  dependencies_.scheduler_thread->OnClusterChanged(work.next_cycle_at,
+                                                   dependencies_.elector->lease_valid_until());
   if (work.has_queued_records) committer_->Flush();
 }
 
--- a/src/service/leader.h
+++ b/src/service/leader.h
@@ -1,6 +1,6 @@
-// One term of leadership: loads the records, answers users and workers, and has the cluster's
-// decisions written and carried out. Created when the node is elected, destroyed when its term is
-// over.
+// One term of leadership: loads the stored records, responds to users and workers, writes changed
+// records to the state service and sends scaling decisions to the cloud. Created when the node is
+// elected, destroyed when it steps down.
 #ifndef ZINCLEAD_SERVICE_LEADER_H_
 #define ZINCLEAD_SERVICE_LEADER_H_
 
@@ -30,10 +30,10 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread; shares only the cluster with the scheduler thread.
+// All methods run on the I/O thread. Only the cluster is shared with the scheduler thread.
 class Leader {
  public:
-  // What a leader uses of its node. All of it must outlive the leader.
+  // Objects of the node that the leader uses. They must outlive the leader.
   struct Dependencies {
     net::EventLoop* loop = nullptr;
     const config::Settings* settings = nullptr;
@@ -42,44 +42,48 @@
     cloud::CloudClient* cloud = nullptr;
     election::Elector* elector = nullptr;
     SchedulerThread* scheduler_thread = nullptr;
-    // Whether this node reaches neither the state service nor any peer.
-    std::function<bool()> isolated;
+    // Returns whether neither the state service nor any peer responds to this node.
+    std::function<bool()> is_isolated;
   };
 
-  // Starts to load the records. `fence`: holds as long as `term` is this node's; all writes depend
-  // on it.
+  // Starts to load the records. `fence` is the precondition that all writes of `term` carry, so
+  // that they fail once the term's leader key no longer exists.
   Leader(Dependencies dependencies, uint64_t term, wire::VersionPrecondition fence);
-  // Refuses the requests that wait for durability.
+  // Responds 503 to the requests that wait for a record to be stored.
   ~Leader();
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // Answers a user's request now, or once what it asks for is durable; 503 while loading.
+  // Replies at once, or when the requested change is durable; with 503 while the records are being
+  // loaded.
   void OnUserRequest(const UserRequest& request, const Reply& reply);
 
-  // Answers a worker: its commands, or 503 if its lease must not be renewed.
+  // Returns the worker's commands, which renew the worker's lease, or 503 if the lease must not be
+  // renewed.
   net::Response OnHeartbeat(const wire::Heartbeat& heartbeat);
 
-  // Carries out what a scheduling cycle of this term decided.
+  // Executes the decisions of a scheduling cycle of this term: sends `actions` to the cloud and
+  // writes queued records.
   void Apply(const core::CloudActions& actions);
 
-  // `peer` has shown that it knows this term; it leads no earlier one then, nor will it again.
+  // `peer` has sent this term or a higher one, so it does not lead an earlier term and never will.
+  // Once all peers have, no earlier leader can renew the leases of workers.
   void OnPeerAcknowledgedTerm(const std::string& peer);
 
-  // What followers may forward to this leader; nullopt if admission sets them no limit.
+  // Returns which submissions followers may forward to this leader; nullopt without a limit.
   [[nodiscard]] std::optional<wire::CreditGrant> MakeCreditGrant();
 
   [[nodiscard]] uint64_t term() const { return term_; }
 
  private:
-  // What a change of the cluster may have left to do.
+  // Work that a change of the cluster may have caused.
   struct PendingWork {
     double next_cycle_at = 0;
     bool has_queued_records = false;
   };
 
-  // The records are loaded; the leader serves from then on.
-  [[nodiscard]] bool loaded() const { return committer_ != nullptr; }
+  // Whether the records are loaded. Before that, requests get 503.
+  [[nodiscard]] bool is_loaded() const { return committer_ != nullptr; }
   [[nodiscard]] bool AllPeersAcknowledgedTerm() const;
   void OnLoaded(RecordLoader::LoadedRecords records);
   void OnTick();
@@ -90,7 +94,7 @@
   void StartPendingWork(const PendingWork& work);
   [[nodiscard]] bool MayRenewWorkerLeases(double now) const;
 
-  const Dependencies node_;
+  const Dependencies dependencies_;
   const uint64_t term_;
   const wire::VersionPrecondition fence_;
   const double load_started_at_;
@@ -100,7 +104,7 @@
   JobRequests job_requests_;
   std::unique_ptr<state::Committer> committer_;  // null until the records are loaded
   std::set<std::string> peers_acknowledging_term_;
-  double next_summary_ = 0;
+  double next_summary_at_ = 0;
   net::EventLoop::Timer tick_timer_;
   net::CallbackGuard guard_;
 };
--- a/src/service/leader_announcer.cc
+++ b/src/service/leader_announcer.cc
@@ -5,7 +5,6 @@
 namespace zinclead::service {
 namespace {
 
-// Announcements to each peer in the duration of the leader's lease.
 constexpr double kAnnouncementsPerLease = 2;
 
 }  // namespace
@@ -23,14 +22,14 @@
   auto credits = leader == nullptr ? std::nullopt : leader->MakeCreditGrant();
   peers_->Announce(MakeAnnouncement(std::move(credits)), elector_->lease_s(),
                    [this](const std::string& peer, const wire::LeaderAnnouncement& announcement) {
-                     OnAnswer(peer, announcement);
+                     OnResponse(peer, announcement);
                    });
 }
 
-void LeaderAnnouncer::OnAnswer(const std::string& peer,
-                               const wire::LeaderAnnouncement& announcement) {
+void LeaderAnnouncer::OnResponse(const std::string& peer,
+                                 const wire::LeaderAnnouncement& announcement) {
   elector_->OnLeaderAnnouncement(announcement.node, announcement.term);
-  // The elector may have stepped down: the leader is looked up only now.
+  // Read only now: the elector may have stepped down, which destroys the leader.
   Leader* const leader = leader_->get();
   if (leader != nullptr && announcement.term >= leader->term()) {
     leader->OnPeerAcknowledgedTerm(peer);
@@ -39,7 +38,8 @@
 
 wire::LeaderAnnouncement LeaderAnnouncer::MakeAnnouncement(
     std::optional<wire::CreditGrant> credits) const {
-  return {elector_->leading() ? node_ : std::string(), elector_->leader_term(), std::move(credits)};
+  return {elector_->is_leading() ? node_ : std::string(), elector_->leader_term(),
+          std::move(credits)};
 }
 
 }  // namespace zinclead::service
--- a/src/service/leader_announcer.h
+++ b/src/service/leader_announcer.h
@@ -1,4 +1,4 @@
-// Tells the other controllers who leads, and learns it from them.
+// Exchanges leader announcements with the other controllers.
 #ifndef ZINCLEAD_SERVICE_LEADER_ANNOUNCER_H_
 #define ZINCLEAD_SERVICE_LEADER_ANNOUNCER_H_
 
@@ -14,27 +14,27 @@
 
 namespace zinclead::service {
 
-// A leader that has lost the state service, and only that, learns of its successor this way. The
-// calls also show each node whether it can reach the others. Belongs to the I/O thread.
+// The announcements let a leader that cannot reach the state service learn of its successor from
+// its peers, and they show each node which peers it can reach. All methods run on the I/O thread.
 class LeaderAnnouncer {
  public:
-  // `leader`: the term that this node leads; null while it leads none. All pointers must outlive
-  // the announcer.
+  // `*leader` is null while this node does not lead. All pointers must outlive the announcer.
   LeaderAnnouncer(net::EventLoop* loop, std::string node, election::Elector* elector,
                   PeerClient* peers, const std::unique_ptr<Leader>* leader);
 
-  // Announces to all peers now and then at regular intervals.
+  // Sends an announcement to all peers now, and then every interval_s(). A further call sends one
+  // at once and restarts the interval.
   void Announce();
 
-  // Seconds between announcements.
+  // Interval between two announcements.
   [[nodiscard]] double interval_s() const;
 
-  // What this node knows of who leads.
+  // Returns an announcement of the highest term seen, which names this node if it leads.
   [[nodiscard]] wire::LeaderAnnouncement MakeAnnouncement(
       std::optional<wire::CreditGrant> credits = std::nullopt) const;
 
  private:
-  void OnAnswer(const std::string& peer, const wire::LeaderAnnouncement& announcement);
+  void OnResponse(const std::string& peer, const wire::LeaderAnnouncement& announcement);
 
   net::EventLoop* const loop_;
   const std::string node_;
--- a/src/service/leader_forwarder.cc
+++ b/src/service/leader_forwarder.cc
@@ -11,8 +11,8 @@
 namespace zinclead::service {
 namespace {
 
-// Share of the client's timeout that a forwarded request may take.
-constexpr double kForwardTimeoutShare = 0.75;
+// Less than the whole, so that the response still reaches the client in time.
+constexpr double kMaxForwardShareOfClientTimeout = 0.75;
 
 }  // namespace
 
@@ -27,29 +27,29 @@
   const std::string& leader = elector_->leader();
   if (!peers_->Has(leader)) return reply(ServiceUnavailable("no leader"));
   request.term = elector_->leader_term();
-  // The body comes from a client and need not be valid UTF-8.
+  // The body comes from a client and may contain invalid UTF-8, on which dump() would throw.
   std::string body = ToJson(request).dump(-1, ' ', false, wire::Json::error_handler_t::replace);
   peers_->Call(leader, wire::kPeerForwardPath, std::move(body),
-               kForwardTimeoutShare * client_timeout_s,
-               [this, reply](const net::Response& response) { OnAnswer(response, reply); });
+               kMaxForwardShareOfClientTimeout * client_timeout_s,
+               [this, reply](const net::Response& response) { OnResponse(response, reply); });
 }
 
-void LeaderForwarder::OnAnswer(const net::Response& response, const Reply& reply) {
-  if (response.status != 200) return reply(ServiceUnavailable("the leader does not answer"));
-  const auto answer = wire::ParseForwardedResponse(response.body);
-  if (!answer) {
+void LeaderForwarder::OnResponse(const net::Response& response, const Reply& reply) {
+  if (response.status != 200) return reply(ServiceUnavailable("the leader does not respond"));
+  const auto forwarded_response = wire::ParseForwardedResponse(response.body);
+  if (!forwarded_response) {
     spdlog::error("malformed answer of a peer");
-    return reply(ServiceUnavailable("the leader's answer is malformed"));
+    return reply(ServiceUnavailable("the leader's response is malformed"));
   }
-  elector_->OnTermSeen(answer->term);
-  reply({answer->status, answer->retry_after_s, answer->body});
+  elector_->OnTermSeen(forwarded_response->term);
+  reply({forwarded_response->status, forwarded_response->retry_after_s, forwarded_response->body});
 }
 
 void LeaderForwarder::ForwardSubmission(const admission::Request& request, const std::string& body,
                                         const Reply& reply) {
   const auto verdict = credit_gate_.Decide(request, net::SteadyNow());
   if (!verdict.forward) {
-    return reply(TooManyRequests(verdict.retry_after_s, "more is asked than can be taken"));
+    return reply(TooManyRequests(verdict.retry_after_s, "too many submissions; retry later"));
   }
   Forward({"POST", std::string(wire::kJobsPath), body}, wire::kSubmitTimeoutS,
           [this, job_id = request.id, reply](net::Response response) {
--- a/src/service/leader_forwarder.h
+++ b/src/service/leader_forwarder.h
@@ -1,4 +1,4 @@
-// Forwards requests that reach a follower to the leader.
+// Forwards requests from a follower to the leader, within the leader's credit grant.
 #ifndef ZINCLEAD_SERVICE_LEADER_FORWARDER_H_
 #define ZINCLEAD_SERVICE_LEADER_FORWARDER_H_
 
@@ -13,26 +13,27 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread. `peers` and `elector` must outlive it.
+// All methods run on the I/O thread. `peers` and `elector` must outlive the forwarder.
 class LeaderForwarder {
  public:
-  // `grant_life_s`: for how long a leader's credit grant counts.
+  // A leader's credit grant is valid for `grant_life_s` after it was received.
   LeaderForwarder(PeerClient* peers, election::Elector* elector, const admission::Limits& limits,
                   double grant_life_s);
 
-  // Replies with the leader's answer, or with 503 if it does not come. `request.term` is filled in
-  // here. `client_timeout_s`: how long the client waits for the reply.
+  // Replies with the leader's response, or with 503 if there is no leader or no usable response
+  // arrives in time. Sets `request.term`. `client_timeout_s`: how long the client waits for the
+  // reply.
   void Forward(wire::ForwardedRequest request, double client_timeout_s, const Reply& reply);
 
-  // Forwards a submission if the leader's credits allow it, else replies 429 at once.
+  // Forwards a submission if the leader's credit grant allows it, else replies 429 at once.
   void ForwardSubmission(const admission::Request& request, const std::string& body,
                          const Reply& reply);
 
-  // A leader announced its term, and what followers may forward to it.
+  // A leader announced its term and, optionally, a credit grant.
   void OnLeaderAnnouncement(const wire::LeaderAnnouncement& announcement);
 
  private:
-  void OnAnswer(const net::Response& response, const Reply& reply);
+  void OnResponse(const net::Response& response, const Reply& reply);
 
   PeerClient* const peers_;
   election::Elector* const elector_;
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -9,21 +9,19 @@
 namespace zinclead::service {
 namespace {
 
-// Requests that a node with a whole core serves in a row before it looks for urgent work, and the
-// least that any node does.
-constexpr double kSliceRequests = 400;
-constexpr size_t kMinSliceRequests = 4;
-// Share of the sockets that the node may have, for kept-open connections of workers and users. The
-// rest is for connections of a single request, for the node's own calls and for peers.
-constexpr double kPublicSocketShare = 0.6;
+// Requests that the event loop serves before it pauses and handles events of high priority, such as
+// lease renewals.
+constexpr double kMaxRequestsPerIterationPerCore = 400;
+constexpr size_t kMinRequestsPerIteration = 4;
+// The remaining sockets serve single-request connections, peers and the node's own calls.
+constexpr double kSocketShareForPublicConnections = 0.6;
 constexpr size_t kMinPublicConnections = 8;
-// Announcements after which a leader's credit grant no longer counts.
-constexpr double kGrantLifeAnnouncements = 3;
-// Durations of the leader's lease after which a peer that does not answer counts as unreachable. By
-// then a leader that ended has a successor, and this node would know it.
-constexpr double kPeerTimeoutLeases = 1.5;
-// ... and after which the state service does. A watch of the leader key is open for two.
-constexpr double kStoreTimeoutLeases = 3;
+constexpr double kCreditGrantLifetimeInAnnouncements = 3;
+// A peer that does not respond for this many leader leases counts as unreachable. By then a failed
+// leader has been replaced, and this node would have learned of the new leader.
+constexpr double kPeerTimeoutInLeases = 1.5;
+// The same for the state service. Longer than a watch of the leader key, which takes two leases.
+constexpr double kStoreTimeoutInLeases = 3;
 
 }  // namespace
 
@@ -46,7 +44,7 @@
                         }),
       announcer_(&loop_, settings_.node, &elector_, &peers_, &leader_),
       forwarder_(&peers_, &elector_, admission_limits_,
-                 kGrantLifeAnnouncements * announcer_.interval_s()),
+                 kCreditGrantLifetimeInAnnouncements * announcer_.interval_s()),
       router_({.settings = &settings_,
                .admission_limits = &admission_limits_,
                .elector = &elector_,
@@ -54,24 +52,26 @@
                .forwarder = &forwarder_,
                .announcer = &announcer_,
                .leader = &leader_,
-               .health = [this] { return CurrentHealth(); }}),
+               .get_health = [this] { return CurrentHealth(); }}),
       public_server_(MakePublicServer()),
       peer_server_(MakePeerServer()) {
   loop_.PauseAfterRequests(
-      std::max(kMinSliceRequests, static_cast<size_t>(kSliceRequests * settings_.core_share)));
+      std::max(kMinRequestsPerIteration,
+               static_cast<size_t>(kMaxRequestsPerIterationPerCore * settings_.core_share)));
 }
 
-// The requests that wait in the leader's term are answered while the servers still exist.
+// The leader replies to its waiting requests when it is destroyed, which requires the servers.
 Node::~Node() { leader_.reset(); }
 
 std::unique_ptr<net::HttpServer> Node::MakePublicServer() {
   net::HttpServer::Limits limits;
-  // Kept-open connections of workers and users are idle between heartbeats or polls; after the
-  // duration of a worker's lease the other end no longer exists.
+  // Connections of workers and users are idle between heartbeats or polls. The other end of one
+  // that is idle for the duration of a worker's lease no longer exists.
   limits.idle_timeout_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
   limits.max_body_bytes = wire::kMaxBody;
-  limits.max_persistent_connections = settings_.PoolSize(kPublicSocketShare, kMinPublicConnections);
+  limits.max_persistent_connections =
+      settings_.PoolSize(kSocketShareForPublicConnections, kMinPublicConnections);
   return std::make_unique<net::HttpServer>(
       &loop_, settings_.listen.host, settings_.listen.port, limits,
       [this](const net::ServerRequest& request, const net::ResponderPtr& responder) {
@@ -85,8 +85,8 @@
   limits.backlog = settings_.sockets;
   limits.max_body_bytes = 4 * wire::kMaxBody;
   limits.max_persistent_connections =
-      static_cast<size_t>(settings_.sockets);  // the peers' pools are bounded
-  // Peers take a node that answers them late for unreachable.
+      static_cast<size_t>(settings_.sockets);  // each peer limits its own connections
+  // A late response makes this node count as unreachable at its peers.
   limits.priority = net::EventPriority::kHigh;
   return std::make_unique<net::HttpServer>(
       &loop_, settings_.peer_listen.host, settings_.peer_listen.port, limits,
@@ -110,7 +110,7 @@
                                     .cloud = &cloud_,
                                     .elector = &elector_,
                                     .scheduler_thread = &scheduler_thread_,
-                                    .isolated = [this] { return IsIsolated(CurrentHealth()); }};
+                                    .is_isolated = [this] { return IsIsolated(CurrentHealth()); }};
   leader_ = std::make_unique<Leader>(std::move(dependencies), term, fence);
   announcer_.Announce();
 }
@@ -125,17 +125,17 @@
 
 NodeHealth Node::CurrentHealth() const {
   const double now = net::SteadyNow();
-  const double peer_timeout_s = kPeerTimeoutLeases * elector_.lease_s();
-  const double store_timeout_s = kStoreTimeoutLeases * elector_.lease_s();
+  const double peer_timeout_s = kPeerTimeoutInLeases * elector_.lease_s();
+  const double store_timeout_s = kStoreTimeoutInLeases * elector_.lease_s();
   const PeerFailureDetector& peers = peers_.failure_detector();
   NodeHealth health;
-  health.leading = leader_ != nullptr;
-  health.lease_valid = elector_.Valid(now);
-  health.leader_known = peers_.Has(elector_.leader());
-  health.leader_unreachable =
-      health.leader_known && peers.Unreachable(elector_.leader(), now, peer_timeout_s);
-  health.store_reachable = now - elector_.store_contact_at() < store_timeout_s;
-  health.peers_silent = peers.AllSilent(now, peer_timeout_s);
+  health.is_leading = leader_ != nullptr;
+  health.has_valid_lease = elector_.HasValidLease(now);
+  health.is_leader_known = peers_.Has(elector_.leader());
+  health.is_leader_unreachable =
+      health.is_leader_known && peers.IsUnreachable(elector_.leader(), now, peer_timeout_s);
+  health.is_store_reachable = now - elector_.last_store_response_at() < store_timeout_s;
+  health.are_all_peers_silent = peers.AreAllSilent(now, peer_timeout_s);
   return health;
 }
 
--- a/src/service/node.h
+++ b/src/service/node.h
@@ -1,5 +1,5 @@
-// One controller of the service: its servers, its part in elections, and the leader's term while it
-// leads.
+// One controller of the service: owns the event loop, the servers and clients, the elector, the
+// scheduler thread and, while this node leads, the leader.
 #ifndef ZINCLEAD_SERVICE_NODE_H_
 #define ZINCLEAD_SERVICE_NODE_H_
 
@@ -24,16 +24,16 @@
 
 namespace zinclead::service {
 
-// Lives on the thread that runs it, which is the I/O thread.
+// Must be constructed, run and destroyed on one thread, which is the I/O thread.
 class Node {
  public:
-  // Listens on both addresses of the settings. Throws std::runtime_error if it can't.
+  // Listens on both addresses of the settings. Throws std::runtime_error if that fails.
   Node(config::Settings settings, config::OperatorSettings operator_settings);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Serves without end.
+  // Runs the event loop; does not return.
   void Run();
 
  private:
@@ -41,7 +41,7 @@
   [[nodiscard]] std::unique_ptr<net::HttpServer> MakePeerServer();
   void OnElected(uint64_t term, const wire::VersionPrecondition& fence);
   void OnLeadershipLost();
-  // Hands what a scheduling cycle decided to the leader. Runs on the scheduler thread.
+  // Posts the decisions of a scheduling cycle to the leader. Runs on the scheduler thread.
   void OnCycleDone(uint64_t term, core::CloudActions actions);
   [[nodiscard]] NodeHealth CurrentHealth() const;
 
--- a/src/service/node_health.cc
+++ b/src/service/node_health.cc
@@ -3,14 +3,15 @@
 namespace zinclead::service {
 
 bool IsIsolated(const NodeHealth& health) {
-  const bool store_lost = health.leading ? !health.lease_valid : !health.store_reachable;
-  return store_lost && health.peers_silent;
+  const bool is_store_lost =
+      health.is_leading ? !health.has_valid_lease : !health.is_store_reachable;
+  return is_store_lost && health.are_all_peers_silent;
 }
 
 bool IsHealthy(const NodeHealth& health) {
   if (IsIsolated(health)) return false;
-  if (health.leading) return true;
-  return !(health.leader_known && health.leader_unreachable && health.store_reachable);
+  if (health.is_leading) return true;
+  return !(health.is_leader_known && health.is_leader_unreachable && health.is_store_reachable);
 }
 
 }  // namespace zinclead::service
--- a/src/service/node_health.h
+++ b/src/service/node_health.h
@@ -1,26 +1,27 @@
-// What a node knows of whether it can serve users, and what follows from it.
+// Decides from a node's view of its peers and the state service whether the node can serve users.
 #ifndef ZINCLEAD_SERVICE_NODE_HEALTH_H_
 #define ZINCLEAD_SERVICE_NODE_HEALTH_H_
 
 namespace zinclead::service {
 
+// The connectivity of one node at one time.
 struct NodeHealth {
-  bool leading = false;
-  bool lease_valid = false;  // when leading
-  bool leader_known = false;
-  bool leader_unreachable = false;
-  bool store_reachable = false;  // the state service answered lately
-  bool peers_silent = false;     // all of them
+  bool is_leading = false;
+  bool has_valid_lease = false;  // only meaningful while leading
+  bool is_leader_known = false;
+  bool is_leader_unreachable = false;
+  bool is_store_reachable = false;    // the state service has responded recently
+  bool are_all_peers_silent = false;  // every call to a peer has timed out for some time
 };
 
-// This node alone has lost the others: neither the state service nor any peer answers. In a common
-// outage of the state service the peers still do, so work goes on then.
+// Whether this node is cut off from the cluster: neither the state service nor any peer responds.
+// If only the state service fails, the peers still respond, and running work is kept alive.
 [[nodiscard]] bool IsIsolated(const NodeHealth& health);
 
-// Whether users should be sent to this node. A node that can't reach a leader which the state
-// service shows to exist, or that is isolated, can answer them only 503. In doubt a node stays
-// healthy: a common outage must not take all nodes out, since the load balancer is slow to take
-// them back.
+// Whether the load balancer should send users to this node. False for a node that could only
+// respond 503: it is isolated, or it reaches the state service but not the leader. In doubt a node
+// is healthy, so that an outage of the state service does not remove all nodes from the load
+// balancer, which is slow to add them again.
 [[nodiscard]] bool IsHealthy(const NodeHealth& health);
 
 }  // namespace zinclead::service
--- a/src/service/peer_client.h
+++ b/src/service/peer_client.h
@@ -1,4 +1,4 @@
-// Calls to the other controllers, and what their outcome says of each.
+// Sends requests to the other controllers, and tracks which of them are reachable.
 #ifndef ZINCLEAD_SERVICE_PEER_CLIENT_H_
 #define ZINCLEAD_SERVICE_PEER_CLIENT_H_
 
@@ -16,25 +16,27 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread. `loop` must outlive it.
+// All methods run on the I/O thread. `loop` must outlive the client.
 class PeerClient {
  public:
+  // Creates a connection pool for each peer in `settings`.
   PeerClient(net::EventLoop* loop, const config::Settings& settings);
 
+  // Whether `peer` is the name of another controller in the settings.
   [[nodiscard]] bool Has(const std::string& peer) const { return links_.contains(peer); }
   [[nodiscard]] const PeerFailureDetector& failure_detector() const { return failure_detector_; }
 
-  // Posts `body` to a peer, which must be known. `done` runs later, with status 0 if no answer came
-  // within `timeout_s`.
+  // Sends `body` to `peer` with POST. Requires Has(peer). `on_response` runs later, with status 0
+  // if no response arrived within `timeout_s`.
   void Call(const std::string& peer, std::string_view path, std::string body, double timeout_s,
-            net::HttpClient::Callback done);
+            net::HttpClient::Callback on_response);
 
-  // Sends `announcement` to each peer that has answered the one before, or failed to within
-  // `timeout_s`. `on_answer` gets the announcements that come back.
-  using OnAnnouncement =
+  // Sends `announcement` to each peer, except to those whose previous announcement is still in
+  // flight. `on_response` receives the announcement that each peer returns within `timeout_s`.
+  using AnnouncementCallback =
       std::function<void(const std::string& peer, const wire::LeaderAnnouncement& announcement)>;
   void Announce(const wire::LeaderAnnouncement& announcement, double timeout_s,
-                const OnAnnouncement& on_answer);
+                const AnnouncementCallback& on_response);
 
  private:
   struct PeerLink {
@@ -42,7 +44,7 @@
     bool announcement_in_flight = false;
   };
 
-  std::map<std::string, PeerLink> links_;  // by peer; complete from the start
+  std::map<std::string, PeerLink> links_;  // by peer name; no entry is added or removed later
   PeerFailureDetector failure_detector_;
 };
 
--- a/src/service/peer_failure_detector.h
+++ b/src/service/peer_failure_detector.h
@@ -1,4 +1,4 @@
-// Which peers this node can reach, by the outcome of its calls to them.
+// Tracks which peers this node can reach, by the outcome of its calls to them.
 #ifndef ZINCLEAD_SERVICE_PEER_FAILURE_DETECTOR_H_
 #define ZINCLEAD_SERVICE_PEER_FAILURE_DETECTOR_H_
 
@@ -7,31 +7,38 @@
 
 namespace zinclead::service {
 
-// Pure: the clock is passed in. All times are in seconds on the steady clock.
+// Does no I/O and reads no clock. All times are in seconds on the steady clock.
 class PeerFailureDetector {
  public:
   enum class Failure {
-    kTimeout,  // the peer was silent for the whole timeout
-    // The connection was refused or reset. That says nothing of whether the peer is alive, as a
-    // packet filter refuses too.
+    kTimeout,  // no response within the timeout
+    // The connection was refused or reset, by the peer's machine or by a packet filter. The peer
+    // may be running or not.
     kRefused,
   };
 
+  // Adds a peer to which no call was made yet.
   void Add(const std::string& peer) { peers_[peer]; }
-  // A call was answered.
-  void OnAnswer(const std::string& peer);
+  // The peer responded to a call.
+  void OnResponse(const std::string& peer);
   // A call that was made at `called_at` failed.
   void OnFailure(const std::string& peer, double called_at, Failure failure);
 
-  // All calls to the peer that were made at least `for_s` ago have failed, and there were some.
-  [[nodiscard]] bool Unreachable(const std::string& peer, double now, double for_s) const;
-  // For at least `for_s` no peer has as much as refused a connection.
-  [[nodiscard]] bool AllSilent(double now, double for_s) const;
+  // Whether all calls to `peer` have failed since a call that was made at least `timeout_s` before
+  // `now`.
+  [[nodiscard]] bool IsUnreachable(const std::string& peer, double now, double timeout_s) const;
+  // Whether, for every peer, all calls since one that was made at least `timeout_s` before `now`
+  // have timed out. False if there are no peers.
+  [[nodiscard]] bool AreAllSilent(double now, double timeout_s) const;
 
  private:
   struct PeerStatus {
-    double failing_since = 0;  // 0: the last call was answered, or none was made
-    double silent_since = 0;   // 0: the last call was answered or refused, or none was made
+    // When the first call was made after which all calls failed; 0: the last call succeeded, or
+    // none was made.
+    double first_failure_at = 0;
+    // When the first call was made after which all calls timed out; 0: the last call succeeded or
+    // was refused, or none was made.
+    double first_timeout_at = 0;
   };
   std::map<std::string, PeerStatus> peers_;
 };
--- a/src/service/pending_requests.cc
+++ b/src/service/pending_requests.cc
@@ -8,26 +8,27 @@
 namespace zinclead::service {
 namespace {
 
-// Moves the elements for which `matches` out of `from`, in their order.
+// Removes the elements for which `matches` returns true from `elements`, and returns them. Keeps
+// the order of both.
 template <typename Element, typename Predicate>
-std::vector<Element> Extract(std::vector<Element>* from, const Predicate& matches) {
+std::vector<Element> Extract(std::vector<Element>* elements, const Predicate& matches) {
   std::vector<Element> extracted;
   std::vector<Element> kept;
-  for (Element& element : *from) {
+  for (Element& element : *elements) {
     (matches(element) ? extracted : kept).push_back(std::move(element));
   }
-  *from = std::move(kept);
+  *elements = std::move(kept);
   return extracted;
 }
 
 }  // namespace
 
-void PendingRequests::Add(const std::string& job_id, Kind kind, double deadline, Reply reply) {
-  requests_[job_id].push_back({kind, deadline, std::move(reply)});
+void PendingRequests::Add(const std::string& job_id, Kind kind, double expires_at, Reply reply) {
+  requests_[job_id].push_back({kind, expires_at, std::move(reply)});
 }
 
 void PendingRequests::Complete(const std::string& job_id, const core::Cluster::JobView& view,
-                               bool lease_valid) {
+                               bool has_valid_lease) {
   const auto it = requests_.find(job_id);
   if (it == requests_.end() || !view.stored) return;
   const std::vector<Request> completed = Extract(&it->second, [&](const Request& request) {
@@ -35,8 +36,8 @@
   });
   if (it->second.empty()) requests_.erase(it);
   for (const Request& request : completed) {
-    if (!lease_valid && !view.final) {
-      request.reply(ServiceUnavailable("the leader's lease has lapsed"));
+    if (!has_valid_lease && !view.final) {
+      request.reply(ServiceUnavailable("the leader's lease has expired"));
       continue;
     }
     const int status = request.kind == Kind::kSubmission ? 201 : 200;
@@ -47,13 +48,13 @@
 void PendingRequests::Expire(double now) {
   std::vector<Request> expired;
   for (auto it = requests_.begin(); it != requests_.end();) {
-    std::vector<Request> of_job =
-        Extract(&it->second, [&](const Request& request) { return request.deadline <= now; });
-    std::move(of_job.begin(), of_job.end(), std::back_inserter(expired));
+    std::vector<Request> expired_of_job =
+        Extract(&it->second, [&](const Request& request) { return request.expires_at <= now; });
+    std::move(expired_of_job.begin(), expired_of_job.end(), std::back_inserter(expired));
     it = it->second.empty() ? requests_.erase(it) : std::next(it);
   }
   for (const Request& request : expired) {
-    request.reply(ServiceUnavailable("the state service does not answer"));
+    request.reply(ServiceUnavailable("the state service does not respond"));
   }
 }
 
--- a/src/service/pending_requests.h
+++ b/src/service/pending_requests.h
@@ -1,4 +1,4 @@
-// Users' requests that are answered once what they ask for is durable.
+// Holds users' requests until the requested change is durable.
 #ifndef ZINCLEAD_SERVICE_PENDING_REQUESTS_H_
 #define ZINCLEAD_SERVICE_PENDING_REQUESTS_H_
 
@@ -11,37 +11,40 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread.
+// All methods run on the I/O thread.
 class PendingRequests {
  public:
   enum class Kind {
-    kSubmission,    // completed by the job's record
-    kCancellation,  // completed by the record of the job's end
+    kSubmission,    // completed when the job's record is stored
+    kCancellation,  // completed when the record of the job's end is stored
   };
 
-  // Keeps the request until Complete, or until Expire at or after `deadline` (steady clock).
-  void Add(const std::string& job_id, Kind kind, double deadline, Reply reply);
+  // Holds the request until Complete or Abort is called, or Expire at or after `expires_at`
+  // (seconds on the steady clock).
+  void Add(const std::string& job_id, Kind kind, double expires_at, Reply reply);
 
+  // Whether a request of the job is waiting.
   [[nodiscard]] bool Has(const std::string& job_id) const { return requests_.contains(job_id); }
 
-  // Answers the job's requests for which `view` is durable. Unless `lease_valid`, only the end of a
-  // job may be told: the others are refused with 503.
-  void Complete(const std::string& job_id, const core::Cluster::JobView& view, bool lease_valid);
+  // Replies to the job's requests that the stored state `view` completes. Without a valid leader's
+  // lease only the end of a job may be reported: other requests get 503.
+  void Complete(const std::string& job_id, const core::Cluster::JobView& view,
+                bool has_valid_lease);
 
-  // Answers requests whose deadline has come with 503.
+  // Replies 503 to the requests whose `expires_at` has passed.
   void Expire(double now);
 
-  // Answers all with 503, as this leader's term is over. Whether they take effect is up to the next
-  // leader.
+  // Replies 503 to all requests at the end of the term. A request still takes effect if the next
+  // leader finds its record in the state service.
   void Abort();
 
  private:
   struct Request {
     Kind kind = Kind::kSubmission;
-    double deadline = 0;
+    double expires_at = 0;
     Reply reply;
   };
-  std::unordered_map<std::string, std::vector<Request>> requests_;  // by job; none is empty
+  std::unordered_map<std::string, std::vector<Request>> requests_;  // by job; no vector is empty
 };
 
 }  // namespace zinclead::service
--- a/src/service/record_loader.cc
+++ b/src/service/record_loader.cc
@@ -7,26 +7,27 @@
 namespace zinclead::service {
 
 RecordLoader::RecordLoader(net::EventLoop* loop, state::StoreClient* store,
-                           std::shared_ptr<core::LockedCluster> cluster, double retry_s, Done done)
+                           std::shared_ptr<core::LockedCluster> cluster, double retry_s,
+                           LoadedCallback on_loaded)
     : loop_(loop),
       store_(store),
       cluster_(std::move(cluster)),
       retry_s_(retry_s),
-      done_(std::move(done)) {}
+      on_loaded_(std::move(on_loaded)) {}
 
 void RecordLoader::Start() { LoadPage(""); }
 
-void RecordLoader::LoadPage(const std::string& after) {
-  store_->List(std::string(core::kRootPrefix), after, core::Importance::kLeadership,
-               guard_.Wrap([this, after](state::Outcome outcome, const wire::StorePage& page) {
-                 OnPage(after, outcome, page);
+void RecordLoader::LoadPage(const std::string& after_key) {
+  store_->List(std::string(core::kRootPrefix), after_key, core::Importance::kLeadership,
+               guard_.Wrap([this, after_key](state::Outcome outcome, const wire::StorePage& page) {
+                 OnPage(after_key, outcome, page);
                }));
 }
 
-void RecordLoader::OnPage(const std::string& after, state::Outcome outcome,
+void RecordLoader::OnPage(const std::string& after_key, state::Outcome outcome,
                           const wire::StorePage& page) {
   if (outcome != state::Outcome::kOk) {
-    loop_->StartTimer(&retry_timer_, retry_s_, [this, after] { LoadPage(after); });
+    loop_->StartTimer(&retry_timer_, retry_s_, [this, after_key] { LoadPage(after_key); });
     return;
   }
   cluster_->WithLock([&](core::Cluster& cluster) {
@@ -39,7 +40,7 @@
     }
   });
   if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
-  done_(std::move(records_));
+  on_loaded_(std::move(records_));
 }
 
 }  // namespace zinclead::service
--- a/src/service/record_loader.h
+++ b/src/service/record_loader.h
@@ -1,4 +1,4 @@
-// Reads all records of the state service into a new leader's cluster.
+// Loads all records from the state service into a new leader's cluster.
 #ifndef ZINCLEAD_SERVICE_RECORD_LOADER_H_
 #define ZINCLEAD_SERVICE_RECORD_LOADER_H_
 
@@ -16,34 +16,37 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread. The leader key must have been created before it starts: writes of
-// earlier leaders then fail, so that the records do not change while they are read.
+// All methods run on the I/O thread. The leader key of the new term must exist before loading
+// starts: it makes the writes of earlier leaders fail, so that no record changes while the pages
+// are read.
 class RecordLoader {
  public:
   struct LoadedRecords {
     size_t count = 0;
-    std::unordered_map<std::string, uint64_t> versions;  // by key
+    std::unordered_map<std::string, uint64_t> versions;  // version in the state service, by key
   };
-  using Done = std::function<void(LoadedRecords records)>;
+  using LoadedCallback = std::function<void(LoadedRecords records)>;
 
-  // `loop` and `store` must outlive the loader. A page that could not be read is asked for again
-  // after `retry_s`, without end.
+  // `loop` and `store` must outlive the loader. A page that could not be read is requested again
+  // after `retry_s`, as often as necessary.
   RecordLoader(net::EventLoop* loop, state::StoreClient* store,
-               std::shared_ptr<core::LockedCluster> cluster, double retry_s, Done done);
+               std::shared_ptr<core::LockedCluster> cluster, double retry_s,
+               LoadedCallback on_loaded);
 
-  // Called once; `done` runs later, unless the loader is destroyed before.
+  // Starts to load. Called once. `on_loaded` runs when all records are loaded, unless the loader is
+  // destroyed before.
   void Start();
 
  private:
-  // Reads the page of the keys after `after`.
-  void LoadPage(const std::string& after);
-  void OnPage(const std::string& after, state::Outcome outcome, const wire::StorePage& page);
+  // Requests the page of keys that come after `after_key`.
+  void LoadPage(const std::string& after_key);
+  void OnPage(const std::string& after_key, state::Outcome outcome, const wire::StorePage& page);
 
   net::EventLoop* const loop_;
   state::StoreClient* const store_;
   const std::shared_ptr<core::LockedCluster> cluster_;
   const double retry_s_;
-  const Done done_;
+  const LoadedCallback on_loaded_;
   LoadedRecords records_;
   net::EventLoop::Timer retry_timer_;
   net::CallbackGuard guard_;
--- a/src/service/request_router.cc
+++ b/src/service/request_router.cc
@@ -12,7 +12,7 @@
 namespace zinclead::service {
 
 RequestRouter::RequestRouter(Dependencies dependencies)
-    : node_(std::move(dependencies)), worker_redirects_(node_.settings->lease_s) {}
+    : dependencies_(std::move(dependencies)), worker_redirects_(dependencies_.settings->lease_s) {}
 
 void RequestRouter::OnPublicRequest(const net::ServerRequest& request,
                                     const net::ResponderPtr& responder) {
@@ -35,27 +35,29 @@
 
 net::Response RequestRouter::OnHealthCheck(const std::string& method) {
   if (method != "GET") return MethodNotAllowed();
-  if (!IsHealthy(node_.health())) return ServiceUnavailable("this node can't serve now");
+  if (!IsHealthy(dependencies_.get_health())) {
+    return ServiceUnavailable("this node cannot serve requests now");
+  }
   return {200, 0, "{}"};
 }
 
 net::Response RequestRouter::OnLeaderAnnouncement(const std::string& body) {
   const auto announcement = wire::ParseLeaderAnnouncement(body);
-  if (!announcement) return BadRequest("malformed notice");
-  node_.elector->OnLeaderAnnouncement(announcement->node, announcement->term);
-  if (!announcement->node.empty()) node_.forwarder->OnLeaderAnnouncement(*announcement);
-  return {200, 0, ToJson(node_.announcer->MakeAnnouncement()).dump()};
+  if (!announcement) return BadRequest("malformed leader announcement");
+  dependencies_.elector->OnLeaderAnnouncement(announcement->node, announcement->term);
+  if (!announcement->node.empty()) dependencies_.forwarder->OnLeaderAnnouncement(*announcement);
+  return {200, 0, ToJson(dependencies_.announcer->MakeAnnouncement()).dump()};
 }
 
 void RequestRouter::OnForwardedRequest(const std::string& body,
                                        const net::ResponderPtr& responder) {
   auto forwarded = wire::ParseForwardedRequest(body);
-  if (!forwarded) return responder->Send(BadRequest("malformed call"));
-  node_.elector->OnTermSeen(forwarded->term);
-  const Reply reply = [elector = node_.elector, responder](const net::Response& response) {
-    const wire::ForwardedResponse answer{response.status, response.retry_after_s, response.body,
-                                         elector->leader_term()};
-    responder->Send({200, 0, ToJson(answer).dump()});
+  if (!forwarded) return responder->Send(BadRequest("malformed forwarded request"));
+  dependencies_.elector->OnTermSeen(forwarded->term);
+  const Reply reply = [elector = dependencies_.elector, responder](const net::Response& response) {
+    const wire::ForwardedResponse forwarded_response{response.status, response.retry_after_s,
+                                                     response.body, elector->leader_term()};
+    responder->Send({200, 0, ToJson(forwarded_response).dump()});
   };
   if (forwarded->path == wire::kHeartbeatPath) {
     return OnHeartbeat(forwarded->body, Origin::kPeer, reply);
@@ -67,32 +69,35 @@
   OnUserRequest(request, Origin::kPeer, reply);
 }
 
-void RequestRouter::OnUserRequest(const net::ServerRequest& http, Origin origin,
+void RequestRouter::OnUserRequest(const net::ServerRequest& http_request, Origin origin,
                                   const Reply& reply) {
-  // A record must fit a value of the state service, progress included, which takes a quarter.
-  const size_t max_spec_bytes = node_.settings->ValueBytes() / 2;
-  const auto parsed = ParseUserRequest(http.method, http.path, http.body, max_spec_bytes);
+  // The record must fit into a value of the state service together with the job's progress, which
+  // takes up to a quarter of the value.
+  const size_t max_spec_bytes = dependencies_.settings->ValueBytes() / 2;
+  const auto parsed =
+      ParseUserRequest(http_request.method, http_request.path, http_request.body, max_spec_bytes);
   if (const auto* response = std::get_if<net::Response>(&parsed)) return reply(*response);
   const auto& request = std::get<UserRequest>(parsed);
   if (leader() != nullptr) return leader()->OnUserRequest(request, reply);
   if (origin == Origin::kPeer) return reply(ServiceUnavailable("not the leader"));
-  ForwardUserRequest(http, request, reply);
+  ForwardUserRequest(http_request, request, reply);
 }
 
-void RequestRouter::ForwardUserRequest(const net::ServerRequest& http, const UserRequest& request,
-                                       const Reply& reply) {
+void RequestRouter::ForwardUserRequest(const net::ServerRequest& http_request,
+                                       const UserRequest& request, const Reply& reply) {
   admission::Request admission_request;
   if (const auto* submission = std::get_if<Submission>(&request)) {
     const wire::JobSpec& spec = submission->spec;
     admission_request = {spec.id, spec.team, admission::TierOf(spec.priority),
-                         node_.admission_limits->CostOf(spec)};
+                         dependencies_.admission_limits->CostOf(spec)};
   } else if (const auto* malformed = std::get_if<MalformedSubmission>(&request)) {
-    // Only the leader knows whether the job was accepted before.
+    // Forwarded, because only the leader knows whether the job was accepted before.
     admission_request.id = malformed->job_id;
   } else {
-    return node_.forwarder->Forward({http.method, http.path, ""}, wire::kQueryTimeoutS, reply);
+    return dependencies_.forwarder->Forward({http_request.method, http_request.path, ""},
+                                            wire::kQueryTimeoutS, reply);
   }
-  node_.forwarder->ForwardSubmission(admission_request, http.body, reply);
+  dependencies_.forwarder->ForwardSubmission(admission_request, http_request.body, reply);
 }
 
 void RequestRouter::OnHeartbeat(const std::string& body, Origin origin, const Reply& reply) {
@@ -104,9 +109,9 @@
     spdlog::error("malformed heartbeat ({} so far): {}", malformed_heartbeats_, error);
     return reply(BadRequest(error));
   }
-  // A worker that has seen a higher term knows of a newer leader before this node does; the elector
-  // then steps down, which ends this node's term.
-  if (leader() != nullptr) node_.elector->OnTermSeen(heartbeat->fencing_token);
+  // The worker may have seen a higher term than this node. The elector then steps down, which
+  // destroys the leader.
+  if (leader() != nullptr) dependencies_.elector->OnTermSeen(heartbeat->fencing_token);
   if (leader() != nullptr) {
     net::Response response = leader()->OnHeartbeat(*heartbeat);
     spdlog::debug("heartbeat response: {}", response.body);
@@ -118,14 +123,16 @@
 
 void RequestRouter::RedirectOrForwardHeartbeat(const std::string& machine, const std::string& body,
                                                const Reply& reply) {
-  const std::string& leader_name = node_.elector->leader();
-  if (!node_.peers->Has(leader_name)) return reply(ServiceUnavailable("no leader"));
-  // What an isolated node knows of the leader may be long out of date.
-  if (IsIsolated(node_.health())) return reply(ServiceUnavailable("this node is cut off"));
+  const std::string& leader_name = dependencies_.elector->leader();
+  if (!dependencies_.peers->Has(leader_name)) return reply(ServiceUnavailable("no leader"));
+  // An isolated node does not learn of a new leader, so it must not redirect workers to an old one.
+  if (IsIsolated(dependencies_.get_health())) {
+    return reply(ServiceUnavailable("this node is isolated from its peers and the state service"));
+  }
   const auto decision = worker_redirects_.OnHeartbeat(machine, net::SteadyNow());
   if (decision == WorkerRedirects::Decision::kForward) {
-    return node_.forwarder->Forward({"POST", std::string(wire::kHeartbeatPath), body},
-                                    wire::kHeartbeatTimeoutS, reply);
+    return dependencies_.forwarder->Forward({"POST", std::string(wire::kHeartbeatPath), body},
+                                            wire::kHeartbeatTimeoutS, reply);
   }
   reply({421, 0, wire::RedirectBody(leader_name)});
 }
--- a/src/service/request_router.h
+++ b/src/service/request_router.h
@@ -1,5 +1,5 @@
-// Routes the requests of users, workers and peers: to the leader's term on this node, or from a
-// follower to the leader.
+// Routes the requests of users, workers and peers to the leader: directly if this node leads, else
+// by forwarding or redirecting them.
 #ifndef ZINCLEAD_SERVICE_REQUEST_ROUTER_H_
 #define ZINCLEAD_SERVICE_REQUEST_ROUTER_H_
 
@@ -24,10 +24,10 @@
 
 namespace zinclead::service {
 
-// Belongs to the I/O thread.
+// All methods run on the I/O thread.
 class RequestRouter {
  public:
-  // What the router uses of its node. All of it must outlive the router.
+  // Objects of the node that the router uses. They must outlive the router.
   struct Dependencies {
     const config::Settings* settings = nullptr;
     const admission::Limits* admission_limits = nullptr;
@@ -35,27 +35,28 @@
     PeerClient* peers = nullptr;
     LeaderForwarder* forwarder = nullptr;
     LeaderAnnouncer* announcer = nullptr;
-    // The term that this node leads; null while it leads none.
+    // Points to null while this node does not lead.
     const std::unique_ptr<Leader>* leader = nullptr;
-    std::function<NodeHealth()> health;
+    // Returns the current health of this node.
+    std::function<NodeHealth()> get_health;
   };
   explicit RequestRouter(Dependencies dependencies);
 
-  // A request of a user, a worker or the load balancer.
+  // Handles a request of a user, a worker or the load balancer.
   void OnPublicRequest(const net::ServerRequest& request, const net::ResponderPtr& responder);
-  // A request of another controller.
+  // Handles a request of another controller.
   void OnPeerRequest(const net::ServerRequest& request, const net::ResponderPtr& responder);
 
  private:
-  // Where a user's or worker's request comes from. One that a peer has forwarded is not forwarded
-  // again.
+  // Sender of a user's or worker's request. A request that a peer forwarded is not forwarded again,
+  // which prevents loops.
   enum class Origin { kClient, kPeer };
 
-  [[nodiscard]] Leader* leader() const { return node_.leader->get(); }
+  [[nodiscard]] Leader* leader() const { return dependencies_.leader->get(); }
 
   net::Response OnHealthCheck(const std::string& method);
-  void OnUserRequest(const net::ServerRequest& request, Origin origin, const Reply& reply);
-  void ForwardUserRequest(const net::ServerRequest& http, const UserRequest& request,
+  void OnUserRequest(const net::ServerRequest& http_request, Origin origin, const Reply& reply);
+  void ForwardUserRequest(const net::ServerRequest& http_request, const UserRequest& request,
                           const Reply& reply);
   void OnHeartbeat(const std::string& body, Origin origin, const Reply& reply);
   void RedirectOrForwardHeartbeat(const std::string& machine, const std::string& body,
@@ -63,7 +64,7 @@
   net::Response OnLeaderAnnouncement(const std::string& body);
   void OnForwardedRequest(const std::string& body, const net::ResponderPtr& responder);
 
-  const Dependencies node_;
+  const Dependencies dependencies_;
   WorkerRedirects worker_redirects_;
   uint64_t malformed_heartbeats_ = 0;
 };
--- a/src/service/responses.h
+++ b/src/service/responses.h
@@ -1,4 +1,4 @@
-// Answers that several modules of the service give to HTTP requests.
+// HTTP error responses that several modules of the service send.
 #ifndef ZINCLEAD_SERVICE_RESPONSES_H_
 #define ZINCLEAD_SERVICE_RESPONSES_H_
 
@@ -9,20 +9,20 @@
 
 namespace zinclead::service {
 
-// Answers one request, at once or later. Called once, on the I/O thread.
+// Sends the response to one request. Must be called once, on the I/O thread; may be called later.
 using Reply = std::function<void(net::Response)>;
 
 // 400: the request is malformed for `reason`.
 [[nodiscard]] net::Response BadRequest(const std::string& reason);
-// 404: there is no such path.
+// 404: the path does not exist.
 [[nodiscard]] net::Response UnknownPath();
 // 404: no job of this id was ever accepted.
 [[nodiscard]] net::Response UnknownJob();
 // 405: the path exists, but not for this method.
 [[nodiscard]] net::Response MethodNotAllowed();
-// 429: refused by admission; the caller may try again after `retry_after_s`.
+// 429: refused by admission; the client may retry after `retry_after_s`.
 [[nodiscard]] net::Response TooManyRequests(int retry_after_s, const char* reason);
-// 503: not now, for `reason`; the caller may try again after a second.
+// 503: temporarily not possible for `reason`; the client may retry after a second.
 [[nodiscard]] net::Response ServiceUnavailable(const char* reason);
 
 }  // namespace zinclead::service
--- a/src/service/scheduler_thread.cc
+++ b/src/service/scheduler_thread.cc
@@ -9,7 +9,7 @@
 namespace zinclead::service {
 namespace {
 
-constexpr double kLaterThanAnyTime = std::numeric_limits<double>::infinity();
+constexpr double kInfiniteTime = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
@@ -35,7 +35,8 @@
 }
 
 void SchedulerThread::Detach() {
-  std::shared_ptr<core::LockedCluster> detached;  // its end may take time: not under the lock
+  // Declared before the lock, so that a large cluster is destroyed after the lock is released.
+  std::shared_ptr<core::LockedCluster> detached;
   const std::scoped_lock lock(mutex_);
   detached.swap(cluster_);
 }
@@ -44,7 +45,7 @@
   {
     const std::scoped_lock lock(mutex_);
     lease_valid_until_ = lease_valid_until;
-    if (wake_requested_ || next_cycle_at >= next_wake_) return;
+    if (wake_requested_ || next_cycle_at >= next_wake_at_) return;
     wake_requested_ = true;
   }
   wake_.notify_one();
@@ -53,33 +54,33 @@
 void SchedulerThread::Run() {
   std::unique_lock lock(mutex_);
   while (!stop_requested_) {
-    // Reset before the cluster is looked at: a change that comes after the look ends the sleep.
+    // Reset before the check for a due cycle, so that a change during the check ends the sleep.
     wake_requested_ = false;
-    next_wake_ = kLaterThanAnyTime;
+    next_wake_at_ = kInfiniteTime;
     std::shared_ptr<core::LockedCluster> cluster = cluster_;
     const double lease_valid_until = lease_valid_until_;
     lock.unlock();
-    std::optional<double> next_wake = net::SteadyNow() + idle_interval_s_;
-    if (cluster != nullptr) next_wake = RunDueCycle(cluster.get(), lease_valid_until);
+    std::optional<double> next_wake_at = net::SteadyNow() + idle_interval_s_;
+    if (cluster != nullptr) next_wake_at = RunDueCycle(cluster.get(), lease_valid_until);
     cluster.reset();
     lock.lock();
-    if (!next_wake) continue;
-    next_wake_ = *next_wake;
-    const std::chrono::duration<double> sleep(next_wake_ - net::SteadyNow());
+    if (!next_wake_at) continue;
+    next_wake_at_ = *next_wake_at;
+    const std::chrono::duration<double> sleep(next_wake_at_ - net::SteadyNow());
     wake_.wait_for(lock, sleep, [this] { return wake_requested_ || stop_requested_; });
   }
 }
 
 std::optional<double> SchedulerThread::RunDueCycle(core::LockedCluster* cluster,
                                                    double lease_valid_until) {
-  std::optional<double> next_wake;
+  std::optional<double> next_wake_at;
   uint64_t term = 0;
   core::CloudActions actions;
   bool has_queued_records = false;
   cluster->WithLock([&](core::Cluster& locked) {
     const double now = net::SteadyNow();
     if (locked.NextWake() > now) {
-      next_wake = locked.NextWake();
+      next_wake_at = locked.NextWake();
       return;
     }
     actions = locked.Schedule(now, now >= lease_valid_until);
@@ -87,7 +88,7 @@
     has_queued_records = locked.HasQueuedRecords();
   });
   if (!actions.empty() || has_queued_records) on_cycle_done_(term, std::move(actions));
-  return next_wake;
+  return next_wake_at;
 }
 
 }  // namespace zinclead::service
--- a/src/service/user_request.cc
+++ b/src/service/user_request.cc
@@ -13,7 +13,7 @@
 ParsedRequest ParseSubmission(const std::string& body, size_t max_spec_bytes) {
   auto spec = wire::ParseSubmission(body);
   if (spec && wire::ToJson(*spec).dump().size() > max_spec_bytes) {
-    spec = wire::ParseFailure("", "the texts in it are too long");
+    spec = wire::ParseFailure("", "the text fields are too long in total");
   }
   if (spec) return UserRequest(Submission{*std::move(spec)});
   std::string error = spec.error().ToString();
@@ -33,13 +33,13 @@
   const std::string job_prefix = std::string(wire::kJobsPath) + "/";
   if (!path.starts_with(job_prefix)) return UnknownPath();
   std::string job_id = path.substr(job_prefix.size());
-  const bool cancel = job_id.ends_with(wire::kCancelSuffix);
-  if (cancel) job_id.resize(job_id.size() - wire::kCancelSuffix.size());
+  const bool is_cancellation = job_id.ends_with(wire::kCancelSuffix);
+  if (is_cancellation) job_id.resize(job_id.size() - wire::kCancelSuffix.size());
   if (job_id.find('/') != std::string::npos) return UnknownPath();
-  if (method != (cancel ? "POST" : "GET")) return MethodNotAllowed();
-  // No job of such an id can have been accepted.
+  if (method != (is_cancellation ? "POST" : "GET")) return MethodNotAllowed();
+  // No job with an invalid id can have been accepted.
   if (!wire::ValidJobId(job_id)) return UnknownJob();
-  if (cancel) return UserRequest(Cancellation{std::move(job_id)});
+  if (is_cancellation) return UserRequest(Cancellation{std::move(job_id)});
   return UserRequest(StatusQuery{std::move(job_id)});
 }
 
--- a/src/service/worker_redirects.cc
+++ b/src/service/worker_redirects.cc
@@ -5,7 +5,7 @@
 namespace zinclead::service {
 namespace {
 
-// Bounds the memory. Workers that are forgotten are redirected once more.
+// Bounds the memory. Beyond the limit all entries are dropped, and each worker is redirected again.
 constexpr size_t kMaxRememberedWorkers = 10'000;
 
 }  // namespace
--- a/src/service/worker_redirects.h
+++ b/src/service/worker_redirects.h
@@ -1,4 +1,4 @@
-// Which workers a follower has redirected to the leader.
+// Decides whether a follower redirects a worker to the leader or forwards its heartbeats.
 #ifndef ZINCLEAD_SERVICE_WORKER_REDIRECTS_H_
 #define ZINCLEAD_SERVICE_WORKER_REDIRECTS_H_
 
@@ -7,16 +7,18 @@
 
 namespace zinclead::service {
 
-// Pure: the clock is passed in.
+// Does no I/O and reads no clock. Times are in seconds on the steady clock.
 class WorkerRedirects {
  public:
   enum class Decision { kRedirect, kForward };
 
-  // A redirect is remembered for `lease_s`, the duration of a worker's lease.
+  // A redirect is remembered for `lease_s`, the duration of a worker's lease, after the machine's
+  // last heartbeat.
   explicit WorkerRedirects(double lease_s) : lease_s_(lease_s) {}
 
-  // A worker's heartbeat reached this follower. The worker is redirected to the leader; one that
-  // comes back although it was redirected can't reach the leader, and its heartbeats are forwarded.
+  // This follower received a heartbeat. The worker is redirected to the leader. A worker that was
+  // redirected and contacts this follower again cannot reach the leader: its heartbeats are
+  // forwarded.
   Decision OnHeartbeat(const std::string& machine, double now);
 
  private:
--- a/tests/elector_test.cc
+++ b/tests/elector_test.cc
@@ -1,5 +1,5 @@
-// Generated histories of elections: processes end before, during and after their commit and restart
-// at once; requests are executed late or twice, and their answers are lost.
+// Runs electors in a simulated cluster with random faults: processes crash at any point of an
+// election and restart, and requests to the state service are delayed, executed twice or lost.
 
 #include "election/elector.h"
 
@@ -50,16 +50,18 @@
       ExpireLeases();
       CheckLeadership();
     }
-    int leading = 0;
-    for (const auto& node : nodes_) leading += node != nullptr && node->elector->Valid(now_);
-    EXPECT_EQ(leading, 1) << "no leader after the faults have ended";
+    int valid_leases = 0;
+    for (const auto& node : nodes_) {
+      valid_leases += node != nullptr && node->elector->HasValidLease(now_);
+    }
+    EXPECT_EQ(valid_leases, 1) << "nodes with a valid lease after the last fault";
   }
 
   size_t terms() const { return terms_.size(); }
   int quick_restarts = 0;
-  int ended_during_election = 0;  // a process ended while its election commit was under way
-  int executed_late = 0;          // ... and the commit was executed later
-  int found_own_key = 0;          // a node that did not lead found itself named in the leader key
+  int crashes_during_election = 0;         // while the election transaction was in flight
+  int elections_executed_after_crash = 0;  // transactions executed after their process crashed
+  int own_key_reads = 0;  // a node that did not lead read its own name from the leader key
 
  private:
   struct Node;
@@ -68,56 +70,57 @@
     NodeTimers(Simulation* sim, std::shared_ptr<bool> alive)
         : sim_(sim), alive_(std::move(alive)) {}
     double Now() override { return sim_->now_; }
-    void After(Slot slot, double delay_s, std::function<void()> task) override {
-      const uint64_t number = ++armed_[slot];
-      sim_->At(delay_s, [this, alive = alive_, slot, number, task = std::move(task)] {
-        if (*alive && armed_[slot] == number) task();
-      });
+    void StartTimer(Slot slot, double delay_s, std::function<void()> task) override {
+      const uint64_t generation = ++timer_generations_[slot];
+      sim_->ScheduleAfter(delay_s,
+                          [this, alive = alive_, slot, generation, task = std::move(task)] {
+                            if (*alive && timer_generations_[slot] == generation) task();
+                          });
     }
-    void Cancel(Slot slot) override { ++armed_[slot]; }
+    void Cancel(Slot slot) override { ++timer_generations_[slot]; }
 
    private:
     Simulation* sim_;
     std::shared_ptr<bool> alive_;
-    std::map<Slot, uint64_t> armed_;
+    std::map<Slot, uint64_t> timer_generations_;
   };
 
-  // The state service as one process reaches it.
+  // The simulated state service, as seen by one process.
   class NodeStore : public state::LeaseStore {
    public:
     NodeStore(Simulation* sim, int node, std::shared_ptr<bool> alive)
         : sim_(sim), node_(node), alive_(std::move(alive)) {}
     void Get(const std::string& key, core::Importance, GetDone done) override {
-      struct Answer {
+      struct Response {
         state::Outcome outcome;
         std::optional<wire::StoreItem> item;
       };
-      auto answer = std::make_shared<Answer>();
+      auto response = std::make_shared<Response>();
       Send(
-          [this, key, answer] {
+          [this, key, response] {
             const auto it = sim_->keys_.find(key);
             if (it == sim_->keys_.end()) {
-              answer->outcome = state::Outcome::kNotFound;
+              response->outcome = state::Outcome::kNotFound;
             } else {
-              answer->outcome = state::Outcome::kOk;
-              answer->item = wire::StoreItem{key, it->second.value, it->second.version};
+              response->outcome = state::Outcome::kOk;
+              response->item = wire::StoreItem{key, it->second.value, it->second.version};
               if (key == kLeaderKey && it->second.value["node"] == "n" + std::to_string(node_)) {
-                ++sim_->found_own_key;
+                ++sim_->own_key_reads;
               }
             }
-            return answer->outcome;
+            return response->outcome;
           },
-          [answer, done](state::Outcome outcome) { done(outcome, answer->item, 0); });
+          [response, done](state::Outcome outcome) { done(outcome, response->item, 0); });
     }
-    void CompareAndSwap(const std::vector<wire::VersionPrecondition>& conditions,
+    void CompareAndSwap(const std::vector<wire::VersionPrecondition>& preconditions,
                         const std::vector<wire::StoreWrite>& writes, core::Importance,
                         CompareAndSwapDone done) override {
       auto revision = std::make_shared<uint64_t>(0);
       ++elections_in_flight;
       Send(
-          [this, conditions, writes, revision] {
-            if (!*alive_) ++sim_->executed_late;
-            return sim_->CompareAndSwap(conditions, writes, revision.get());
+          [this, preconditions, writes, revision] {
+            if (!*alive_) ++sim_->elections_executed_after_crash;
+            return sim_->CompareAndSwap(preconditions, writes, revision.get());
           },
           [this, revision, done](state::Outcome outcome) {
             --elections_in_flight;
@@ -139,7 +142,7 @@
           [this, lease] {
             const auto it = sim_->leases_.find(lease);
             if (it == sim_->leases_.end()) return state::Outcome::kNotFound;
-            it->second.ends = sim_->now_ + it->second.ttl;
+            it->second.expires_at = sim_->now_ + it->second.ttl_s;
             return state::Outcome::kOk;
           },
           [lease, done](state::Outcome outcome) { done(outcome, lease); });
@@ -147,51 +150,56 @@
     void Revoke(uint64_t lease) override {
       Send(
           [this, lease] {
-            sim_->EndLease(lease);
+            sim_->RemoveLease(lease);
             return state::Outcome::kOk;
           },
           [](state::Outcome) {});
     }
-    void Watch(const std::string&, uint64_t after, double wait_s, WatchDone done) override {
-      PollForChange(after, sim_->now_ + wait_s, std::move(done));
+    void Watch(const std::string&, uint64_t after_revision, double wait_s,
+               WatchDone done) override {
+      PollForChange(after_revision, sim_->now_ + wait_s, std::move(done));
     }
     int elections_in_flight = 0;
 
    private:
-    // Executes a request after a delay, which may be long, and sometimes twice or while the service
-    // is unavailable. Answers the process if it still waits, unless the answer is lost.
+    // Executes a request after a random delay, unless the service is then unavailable or rejects
+    // the node, and responds, unless the response is lost or the process has crashed or timed out.
+    // May execute the request a second time, even while the service is unavailable.
     void Send(const std::function<state::Outcome()>& execute,
-              const std::function<void(state::Outcome)>& answer) {
+              const std::function<void(state::Outcome)>& on_response) {
       const auto finished = std::make_shared<bool>(false);
-      const auto reply = [alive = alive_, finished, answer](state::Outcome outcome) {
+      const auto reply = [alive = alive_, finished, on_response](state::Outcome outcome) {
         if (!*alive || std::exchange(*finished, true)) return;
-        answer(outcome);
+        on_response(outcome);
       };
-      sim_->At(kRequestTimeoutS, [reply] { reply(state::Outcome::kUnknown); });
+      sim_->ScheduleAfter(kRequestTimeoutS, [reply] { reply(state::Outcome::kUnknown); });
       const bool inject_faults = !sim_->faults_ended_;
-      double delay = sim_->Uniform(0.002, 0.02);
-      if (inject_faults && sim_->Chance(0.08)) delay = sim_->Uniform(0.1, 8);
-      const bool lost = inject_faults && sim_->Chance(0.05);
+      double delay_s = sim_->Uniform(0.002, 0.02);
+      if (inject_faults && sim_->Chance(0.08)) delay_s = sim_->Uniform(0.1, 8);
+      const bool is_response_lost = inject_faults && sim_->Chance(0.05);
       if (inject_faults && sim_->Chance(0.03)) {
-        sim_->At(delay + sim_->Uniform(0.01, 5), [execute] { execute(); });
+        sim_->ScheduleAfter(delay_s + sim_->Uniform(0.01, 5), [execute] { execute(); });
       }
-      sim_->At(delay, [this, execute, reply, lost] {
+      sim_->ScheduleAfter(delay_s, [this, execute, reply, is_response_lost] {
         if (sim_->now_ < sim_->outage_until_ || sim_->now_ < sim_->rejected_until_[node_]) {
           return reply(state::Outcome::kUnavailable);
         }
         const state::Outcome outcome = execute();
-        if (!lost) sim_->At(sim_->Uniform(0.002, 0.02), [reply, outcome] { reply(outcome); });
+        if (!is_response_lost) {
+          sim_->ScheduleAfter(sim_->Uniform(0.002, 0.02), [reply, outcome] { reply(outcome); });
+        }
       });
     }
-    void PollForChange(uint64_t after, double until, WatchDone done) {
-      sim_->At(0.02, [this, alive = alive_, after, until, done = std::move(done)]() mutable {
+    void PollForChange(uint64_t after_revision, double until, WatchDone done) {
+      sim_->ScheduleAfter(0.02, [this, alive = alive_, after_revision, until,
+                                 done = std::move(done)]() mutable {
         if (!*alive) return;
         const bool unavailable =
             sim_->now_ < sim_->outage_until_ || sim_->now_ < sim_->rejected_until_[node_];
-        if (sim_->now_ >= until || (!unavailable && sim_->leader_changed_ > after)) {
+        if (sim_->now_ >= until || (!unavailable && sim_->leader_key_revision_ > after_revision)) {
           return done(state::Outcome::kOk);
         }
-        PollForChange(after, until, std::move(done));
+        PollForChange(after_revision, until, std::move(done));
       });
     }
 
@@ -212,14 +220,16 @@
     uint64_t lease = 0;
   };
   struct Lease {
-    double ttl = 0;
-    double ends = 0;
+    double ttl_s = 0;
+    double expires_at = 0;
   };
 
-  double Uniform(double a, double b) { return std::uniform_real_distribution(a, b)(random_); }
-  bool Chance(double p) { return Uniform(0, 1) < p; }
-  void At(double delay, std::function<void()> task) {
-    events_.emplace(now_ + delay, std::move(task));
+  double Uniform(double min, double max) {
+    return std::uniform_real_distribution(min, max)(random_);
+  }
+  bool Chance(double probability) { return Uniform(0, 1) < probability; }
+  void ScheduleAfter(double delay_s, std::function<void()> task) {
+    events_.emplace(now_ + delay_s, std::move(task));
   }
 
   void Start(int i) {
@@ -230,11 +240,12 @@
     settings.node = "n" + std::to_string(i);
     node->elector = std::make_unique<Elector>(
         node->timers.get(), node->store.get(), settings, operator_settings_,
-        Elector::Hooks{[this](uint64_t term, const wire::VersionPrecondition&) {
-                         EXPECT_TRUE(terms_.insert(term).second) << "two leaders of one term";
-                         EXPECT_EQ(term, *terms_.rbegin()) << "a term that does not rise";
-                       },
-                       [] {}});
+        Elector::Callbacks{[this](uint64_t term, const wire::VersionPrecondition&) {
+                             EXPECT_TRUE(terms_.insert(term).second)
+                                 << "two nodes were elected in one term";
+                             EXPECT_EQ(term, *terms_.rbegin()) << "the term did not increase";
+                           },
+                           [] {}});
     node->elector->Start();
     nodes_[static_cast<size_t>(i)] = std::move(node);
   }
@@ -245,72 +256,73 @@
     switch (random_() % 4) {
       case 0:
         outage_until_ = now_ + Uniform(0, 6);
-        for (auto& [id, lease] : leases_) lease.ends = outage_until_ + lease.ttl;
+        for (auto& [id, lease] : leases_) lease.expires_at = outage_until_ + lease.ttl_s;
         return;
       case 1:
         rejected_until_[i] = now_ + Uniform(0, 10);
         return;
       default:
         if (node == nullptr) return;
-        if (node->store->elections_in_flight > 0) ++ended_during_election;
+        if (node->store->elections_in_flight > 0) ++crashes_during_election;
         *node->alive = false;
-        // Requests in flight may still refer to it.
-        ended_.push_back(std::move(node));
+        // Kept, because requests in flight still refer to the node.
+        crashed_nodes_.push_back(std::move(node));
         if (Chance(0.7)) {
           ++quick_restarts;
-          At(Uniform(0.01, 0.5), [this, i] { Start(i); });
+          ScheduleAfter(Uniform(0.01, 0.5), [this, i] { Start(i); });
         } else {
-          At(Uniform(0.5, 6), [this, i] { Start(i); });
+          ScheduleAfter(Uniform(0.5, 6), [this, i] { Start(i); });
         }
     }
   }
 
-  state::Outcome CompareAndSwap(const std::vector<wire::VersionPrecondition>& conditions,
+  state::Outcome CompareAndSwap(const std::vector<wire::VersionPrecondition>& preconditions,
                                 const std::vector<wire::StoreWrite>& writes, uint64_t* revision) {
     for (const auto& write : writes) {
       if (write.lease && !leases_.contains(*write.lease)) return state::Outcome::kLeaseNotFound;
     }
-    for (const auto& condition : conditions) {
-      const auto it = keys_.find(condition.key);
-      if ((it == keys_.end() ? 0 : it->second.version) != condition.version) {
+    for (const auto& precondition : preconditions) {
+      const auto it = keys_.find(precondition.key);
+      if ((it == keys_.end() ? 0 : it->second.version) != precondition.version) {
         return state::Outcome::kConflict;
       }
     }
     *revision = ++revision_;
     for (const auto& write : writes) {
       keys_[write.key] = {*write.value, revision_, write.lease.value_or(0)};
-      if (write.key == kLeaderKey) leader_changed_ = revision_;
+      if (write.key == kLeaderKey) leader_key_revision_ = revision_;
     }
     return state::Outcome::kOk;
   }
-  void EndLease(uint64_t lease) {
+  void RemoveLease(uint64_t lease) {
     if (leases_.erase(lease) == 0) return;
     const auto it = keys_.find(kLeaderKey);
     if (it != keys_.end() && it->second.lease == lease) {
       keys_.erase(it);
-      leader_changed_ = ++revision_;
+      leader_key_revision_ = ++revision_;
     }
   }
   void ExpireLeases() {
     std::vector<uint64_t> expired;
     for (const auto& [id, lease] : leases_) {
-      if (now_ >= lease.ends) expired.push_back(id);
+      if (now_ >= lease.expires_at) expired.push_back(id);
     }
-    for (const uint64_t id : expired) EndLease(id);
+    for (const uint64_t id : expired) RemoveLease(id);
   }
 
-  // At most one node has a valid lease, and the leader key names it and its term.
+  // Checks that at most one node has a valid lease, and that the leader key names this node and its
+  // term.
   void CheckLeadership() {
-    int valid = 0;
+    int valid_leases = 0;
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i] == nullptr || !nodes_[i]->elector->Valid(now_)) continue;
-      ++valid;
+      if (nodes_[i] == nullptr || !nodes_[i]->elector->HasValidLease(now_)) continue;
+      ++valid_leases;
       const auto key = keys_.find(kLeaderKey);
-      ASSERT_NE(key, keys_.end()) << "leads without the key at " << now_;
+      ASSERT_NE(key, keys_.end()) << "a node leads without a leader key at " << now_;
       EXPECT_EQ(key->second.value["node"], "n" + std::to_string(i));
       EXPECT_EQ(key->second.value["term"], nodes_[i]->elector->term());
     }
-    EXPECT_LE(valid, 1);
+    EXPECT_LE(valid_leases, 1);
   }
 
   std::mt19937_64 random_;
@@ -324,37 +336,37 @@
   std::map<std::string, Key> keys_;
   std::map<uint64_t, Lease> leases_;
   uint64_t revision_ = 0;
-  uint64_t leader_changed_ = 0;
+  uint64_t leader_key_revision_ = 0;
   uint64_t last_lease_ = 0;
   std::set<uint64_t> terms_;
-  std::vector<std::unique_ptr<Node>> ended_;
+  std::vector<std::unique_ptr<Node>> crashed_nodes_;
   std::array<std::unique_ptr<Node>, 3> nodes_;
 };
 
-TEST(Elector, OneLeaderATermThroughQuickRestartsAndLateCommits) {
+TEST(Elector, AtMostOneLeaderPerTermDespiteCrashesAndDelayedCommits) {
   const char* const configured = std::getenv("ZINCLEAD_HISTORIES");
   const uint64_t histories = configured == nullptr ? 200 : std::strtoul(configured, nullptr, 10);
   size_t terms = 0;
   int quick_restarts = 0;
-  int ended_during_election = 0;
-  int executed_late = 0;
-  int found_own_key = 0;
+  int crashes_during_election = 0;
+  int elections_executed_after_crash = 0;
+  int own_key_reads = 0;
   for (uint64_t seed = 1; seed <= histories && !HasFailure(); ++seed) {
     SCOPED_TRACE("history " + std::to_string(seed));
     Simulation simulation(seed);
     simulation.Run();
     terms += simulation.terms();
     quick_restarts += simulation.quick_restarts;
-    ended_during_election += simulation.ended_during_election;
-    executed_late += simulation.executed_late;
-    found_own_key += simulation.found_own_key;
+    crashes_during_election += simulation.crashes_during_election;
+    elections_executed_after_crash += simulation.elections_executed_after_crash;
+    own_key_reads += simulation.own_key_reads;
   }
-  // The histories covered the cases that they are generated for.
+  // The runs must cover the faults that this test is for.
   EXPECT_GT(terms, 500U);
   EXPECT_GT(quick_restarts, 500);
-  EXPECT_GT(ended_during_election, 20);
-  EXPECT_GT(executed_late, 10);
-  EXPECT_GT(found_own_key, 100);
+  EXPECT_GT(crashes_during_election, 20);
+  EXPECT_GT(elections_executed_after_crash, 10);
+  EXPECT_GT(own_key_reads, 100);
 }
 
 }  // namespace
--- a/tests/scheduler_thread_test.cc
+++ b/tests/scheduler_thread_test.cc
@@ -1,4 +1,4 @@
-// When the scheduler thread runs the cycles of the cluster that is attached to it.
+// When the scheduler thread runs the cycles of its attached cluster.
 
 #include "service/scheduler_thread.h"
 
@@ -20,12 +20,12 @@
 namespace {
 
 constexpr uint64_t kTerm = 7;
-// Far longer than a test waits: what runs earlier was woken.
+// Far longer than a test waits, so that only a wake-up can end the idle sleep.
 constexpr double kIdleIntervalS = 3600;
-constexpr double kNever = 1e9;
-constexpr std::chrono::seconds kPatience{20};
+constexpr double kNeverExpires = 1e9;
+constexpr std::chrono::seconds kTestTimeout{20};
 
-// Counts the cycles that had something to hand over.
+// Counts the calls of on_cycle_done. Thread-safe.
 class CycleCounter {
  public:
   void Add(uint64_t term) {
@@ -36,7 +36,7 @@
   }
   bool WaitFor(int cycles) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kPatience, [&] { return cycles_ >= cycles; });
+    return changed_.wait_for(lock, kTestTimeout, [&] { return cycles_ >= cycles; });
   }
   int cycles() {
     const std::scoped_lock lock(mutex_);
@@ -63,7 +63,8 @@
     cluster->OnMachineTypes({testing::MakeType("c4", 4, 1)});
     return std::make_shared<core::LockedCluster>(std::move(cluster));
   }
-  // A job whose record waits to be written, so that each later cycle is handed over.
+  // Submits a job whose record stays queued, so that on_cycle_done is called after each later
+  // cycle. Returns when the next cycle is due.
   static double Submit(core::LockedCluster* cluster, const std::string& id) {
     return cluster->WithLock([&](core::Cluster& locked) {
       EXPECT_EQ(locked.Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow()).outcome,
@@ -78,52 +79,52 @@
                           [this](uint64_t term, const core::CloudActions&) { counter_.Add(term); }};
 };
 
-TEST_F(SchedulerThreadTest, AChangeEndsTheSleepAndTheCycleIsHandedOver) {
+TEST_F(SchedulerThreadTest, AChangeWakesTheThreadAndItsCycleIsReported) {
   thread_.Start();
   const auto cluster = MakeCluster();
   thread_.Attach(cluster);
-  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNever);
+  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNeverExpires);
   ASSERT_TRUE(counter_.WaitFor(1));
   EXPECT_EQ(counter_.last_term(), kTerm);
 }
 
-TEST_F(SchedulerThreadTest, RunsLaterCyclesByItself) {
+TEST_F(SchedulerThreadTest, RunsLaterCyclesWithoutFurtherChanges) {
   thread_.Start();
   const auto cluster = MakeCluster();
   thread_.Attach(cluster);
-  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNever);
+  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNeverExpires);
   EXPECT_TRUE(counter_.WaitFor(3));
 }
 
-// Terms that follow one another at once: none is left to the end of a sleep.
+// Guards against a lost wake-up when one term follows another without a pause.
 TEST_F(SchedulerThreadTest, EachNewClusterIsScheduledAtOnce) {
   thread_.Start();
   for (int i = 0; i < 50; ++i) {
     const auto cluster = MakeCluster();
-    const int before = counter_.cycles();
+    const int cycles_before = counter_.cycles();
     thread_.Attach(cluster);
-    thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNever);
-    ASSERT_TRUE(counter_.WaitFor(before + 1)) << "cluster " << i;
+    thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNeverExpires);
+    ASSERT_TRUE(counter_.WaitFor(cycles_before + 1)) << "cluster " << i;
     thread_.Detach();
   }
 }
 
-TEST_F(SchedulerThreadTest, ADetachedClusterIsLetGo) {
+TEST_F(SchedulerThreadTest, ADetachedClusterIsReleased) {
   thread_.Start();
   auto cluster = MakeCluster();
   const std::weak_ptr<core::LockedCluster> observer = cluster;
   thread_.Attach(cluster);
-  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNever);
+  thread_.OnClusterChanged(Submit(cluster.get(), "req-000001"), kNeverExpires);
   ASSERT_TRUE(counter_.WaitFor(1));
   thread_.Detach();
   cluster.reset();
-  // A look that was under way may still hold it.
-  const double deadline = net::SteadyNow() + 20;
-  while (!observer.expired() && net::SteadyNow() < deadline) std::this_thread::yield();
+  // A check for a due cycle that is in progress may still hold the cluster.
+  const double give_up_at = net::SteadyNow() + 20;
+  while (!observer.expired() && net::SteadyNow() < give_up_at) std::this_thread::yield();
   EXPECT_TRUE(observer.expired());
 }
 
-TEST_F(SchedulerThreadTest, EndsWithoutHavingStartedOrWhileIdle) {
+TEST_F(SchedulerThreadTest, CanBeDestroyedBeforeStartOrWhileIdle) {
   const SchedulerThread never_started(kIdleIntervalS, [](uint64_t, const core::CloudActions&) {});
   thread_.Start();
 }
--- a/tests/user_request_test.cc
+++ b/tests/user_request_test.cc
@@ -1,4 +1,4 @@
-// Users' requests: from method, path and body to a typed message or the response that refuses it.
+// Parsing of users' HTTP requests into typed messages or error responses.
 
 #include "service/user_request.h"
 
@@ -21,7 +21,7 @@
   return ParseUserRequest(method, path, body, max_spec_bytes);
 }
 
-// The message, if the request was parsed to one of this type.
+// Returns the message if the request was parsed as a message of this type.
 template <typename Message>
 std::optional<Message> Get(const std::variant<UserRequest, net::Response>& parsed) {
   const auto* request = std::get_if<UserRequest>(&parsed);
@@ -48,16 +48,16 @@
   EXPECT_EQ(StatusOf(Parse("GET", "/")), 404);
 }
 
-TEST(UserRequest, SubmissionsThatCannotBeAcceptedStillNameTheirJob) {
+TEST(UserRequest, InvalidSubmissionsKeepTheirJobId) {
   const wire::JobSpec spec = testing::MakeJob("req-000001");
   const std::string body = wire::ToJson(spec).dump();
   ASSERT_TRUE(Get<Submission>(Parse("POST", kJobs, body)));
   EXPECT_EQ(Get<Submission>(Parse("POST", kJobs, body))->spec.id, spec.id);
-  // Too large for a record.
+  // Too large to be stored.
   const auto too_large = Get<MalformedSubmission>(Parse("POST", kJobs, body, body.size() / 2));
   ASSERT_TRUE(too_large);
   EXPECT_EQ(too_large->job_id, spec.id);
-  EXPECT_EQ(too_large->error, "the texts in it are too long");
+  EXPECT_EQ(too_large->error, "the text fields are too long in total");
   EXPECT_EQ(StatusOf(Parse("POST", kJobs, "{}")), 400) << "names no job";
   EXPECT_EQ(StatusOf(Parse("POST", kJobs, "not json")), 400);
 }
@@ -65,9 +65,10 @@
 TEST(UserRequest, AnyInputIsParsedOrRefused) {
   rc::check([] {
     const auto method = *rc::gen::element<std::string>("GET", "POST", "PUT", "");
-    const auto tail = *rc::gen::arbitrary<std::string>();
-    const auto parsed = Parse(method, *rc::gen::element(kJobs, kJobs + "/", std::string()) + tail,
-                              *rc::gen::arbitrary<std::string>());
+    const auto path_suffix = *rc::gen::arbitrary<std::string>();
+    const auto parsed =
+        Parse(method, *rc::gen::element(kJobs, kJobs + "/", std::string()) + path_suffix,
+              *rc::gen::arbitrary<std::string>());
     if (std::holds_alternative<net::Response>(parsed)) {
       const int status = StatusOf(parsed);
       RC_ASSERT(status == 400 || status == 404 || status == 405);
--- a/tests/worker_redirects_test.cc
+++ b/tests/worker_redirects_test.cc
@@ -1,4 +1,4 @@
-// When a follower redirects a worker to the leader, and when it forwards its heartbeats.
+// When a follower redirects a worker to the leader, and when it forwards the worker's heartbeats.
 
 #include "service/worker_redirects.h"
 
@@ -12,16 +12,18 @@
 using Decision = WorkerRedirects::Decision;
 constexpr double kLeaseS = 10;
 
-TEST(WorkerRedirects, AWorkerThatComesBackIsForwardedWhileItKeepsComing) {
+TEST(WorkerRedirects, AWorkerThatReturnsWithinALeaseIsForwarded) {
   WorkerRedirects redirects(kLeaseS);
   EXPECT_EQ(redirects.OnHeartbeat("i-1", 0), Decision::kRedirect);
   EXPECT_EQ(redirects.OnHeartbeat("i-2", 1), Decision::kRedirect);
   EXPECT_EQ(redirects.OnHeartbeat("i-1", 9), Decision::kForward);
-  EXPECT_EQ(redirects.OnHeartbeat("i-1", 18), Decision::kForward) << "each time counts anew";
-  EXPECT_EQ(redirects.OnHeartbeat("i-1", 28), Decision::kRedirect) << "a lease without it";
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 18), Decision::kForward)
+      << "each heartbeat restarts the period";
+  EXPECT_EQ(redirects.OnHeartbeat("i-1", 28), Decision::kRedirect)
+      << "no heartbeat for a whole lease";
 }
 
-TEST(WorkerRedirects, ForgetsAllBeforeItGrowsWithoutEnd) {
+TEST(WorkerRedirects, DropsAllEntriesBeyondTheLimit) {
   WorkerRedirects redirects(kLeaseS);
   for (int i = 0; i <= 10'000; ++i) {
     EXPECT_EQ(redirects.OnHeartbeat("i-" + std::to_string(i), 0), Decision::kRedirect);
