--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,4 +1,4 @@
-// The command line of zinclead.
+// Entry point of zinclead: parses the command line, loads the settings and runs the node.
 
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -30,11 +30,11 @@
 
 struct Options {
   std::string settings_path;
-  std::string operator_settings_path;  // empty: the defaults
-  bool check = false;
+  std::string operator_settings_path;  // empty: default settings
+  bool is_check_only = false;
 };
 
-// Logs to standard error at the level that the environment variable LOG_LEVEL names.
+// Logs to standard error at the level given by the environment variable LOG_LEVEL.
 void SetUpLogging() {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("zinclead"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -50,7 +50,8 @@
   }
 }
 
-// The process has tens of megabytes: it uses one arena, and returns freed memory to the system.
+// Uses one malloc arena and returns freed memory to the operating system, as the process has only
+// tens of megabytes of memory.
 void LimitHeap() {
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
@@ -61,7 +62,7 @@
   OperatorSettings operator_settings;
 };
 
-// Reads both files; the error names file, line or field.
+// Reads both settings files. The error names the file, line or field.
 tl::expected<Configuration, SettingsError> LoadConfiguration(const Options& options) {
   auto settings = zinclead::config::LoadSettings(options.settings_path);
   if (!settings) return tl::unexpected(std::move(settings.error()));
@@ -79,9 +80,9 @@
     std::cout << line << "\n";
   }
   for (const auto& [team, weight] : operator_settings.admission.team_weights) {
-    // Not an error: the platform may remove a team while controllers run.
+    // Not an error: the platform may remove a team while the controllers run.
     if (settings.FindTeam(team) == nullptr) {
-      std::cout << "admission: team \"" << team << "\" is not known to the platform\n";
+      std::cout << "admission: team \"" << team << "\" is not defined in the platform's settings\n";
     }
   }
 }
@@ -112,7 +113,7 @@
       ->required();
   app.add_option("--operator-config", options.operator_settings_path,
                  "the operators' own settings (XML)");
-  app.add_flag("--check", options.check, "check the settings and end");
+  app.add_flag("--check", options.is_check_only, "check the settings and exit");
   CLI11_PARSE(app, argc, argv);
 
   const auto configuration = LoadConfiguration(options);
@@ -120,7 +121,7 @@
     std::cerr << "zinclead: " << configuration.error().ToString() << "\n";
     return kExitInvalidSettings;
   }
-  if (options.check) {
+  if (options.is_check_only) {
     std::cout << "settings are valid\n";
     PrintAdmissionLimits(configuration->settings, configuration->operator_settings);
     return EXIT_SUCCESS;
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -8,19 +8,18 @@
 namespace zinclead::cloud {
 namespace {
 
-// Of the sockets that the node may have.
-constexpr double kSocketShare = 0.003;
+constexpr double kShareOfNodeSockets = 0.003;
 constexpr size_t kMinConnections = 2;
-// The rest is left for what a previous leader still has in flight.
-constexpr double kRequestRateShare = 0.9;
+// The rest is for requests of a previous leader that are still in flight.
+constexpr double kLeaderShareOfRequestRate = 0.9;
 constexpr double kMinTimeoutS = 2.0;
 
 rpc::RateLimitedClient::Options ClientOptions(const config::Settings& settings) {
   rpc::RateLimitedClient::Options options;
   options.service = "cloud";
   options.address = settings.cloud;
-  options.max_connections = settings.PoolSize(kSocketShare, kMinConnections);
-  options.requests_per_s = kRequestRateShare * settings.cloud_rps;
+  options.max_connections = settings.PoolSize(kShareOfNodeSockets, kMinConnections);
+  options.requests_per_s = kLeaderShareOfRequestRate * settings.cloud_rps;
   return options;
 }
 
@@ -30,7 +29,7 @@
     : client_(loop, ClientOptions(settings)),
       timeout_s_(std::max(kMinTimeoutS, settings.heartbeat_interval_s)) {}
 
-// A request that the rate limit held back is like one without an answer to the callers.
+// `done` gets status 0 if the rate limit prevents the request, as it does without a response.
 void CloudClient::Call(const char* method, std::string path, std::string body,
                        core::Importance importance,
                        std::function<void(const net::Response&)> done) {
@@ -56,11 +55,11 @@
 void CloudClient::ScaleOut(const wire::ScaleOutRequest& request, ScaleOutDone done) {
   Call("POST", std::string(wire::kMachinesPath), wire::ScaleOutBody(request),
        core::Importance::kUser, [this, done = std::move(done)](const net::Response& response) {
-         OnScaleOutAnswered(response, done);
+         OnScaleOutResponse(response, done);
        });
 }
 
-void CloudClient::OnScaleOutAnswered(const net::Response& response, const ScaleOutDone& done) {
+void CloudClient::OnScaleOutResponse(const net::Response& response, const ScaleOutDone& done) {
   switch (response.status) {
     case 200: {
       auto machines = wire::ParseScaleOutResponse(response.body);
@@ -88,29 +87,29 @@
 
 void CloudClient::ListMachines(MachineListDone done) { ListPage("", {}, std::move(done)); }
 
-void CloudClient::ListPage(const std::string& after, std::vector<wire::ListedMachine> listed,
-                           MachineListDone done) {
-  Call("GET", wire::MachineListPath(after, wire::kMaxMachinesPerPage), "",
+void CloudClient::ListPage(const std::string& after_id,
+                           std::vector<wire::ListedMachine> listed_machines, MachineListDone done) {
+  Call("GET", wire::MachineListPath(after_id, wire::kMaxMachinesPerPage), "",
        core::Importance::kBackground,
-       [this, listed = std::move(listed),
+       [this, listed_machines = std::move(listed_machines),
         done = std::move(done)](const net::Response& response) mutable {
-         OnPage(response, std::move(listed), std::move(done));
+         OnPage(response, std::move(listed_machines), std::move(done));
        });
 }
 
-void CloudClient::OnPage(const net::Response& response, std::vector<wire::ListedMachine> listed,
-                         MachineListDone done) {
+void CloudClient::OnPage(const net::Response& response,
+                         std::vector<wire::ListedMachine> listed_machines, MachineListDone done) {
   if (response.status != 200) return done(std::nullopt);
   const auto page = wire::ParseMachinePage(response.body);
-  // An empty page that is not the last names no key to go on from.
+  // The next page starts after the last id of this one, so only the last page may be empty.
   if (!page || (page->more && page->machines.empty())) {
     client_.ReportMalformedResponse("list of machines");
     return done(std::nullopt);
   }
-  listed.insert(listed.end(), page->machines.begin(), page->machines.end());
-  if (!page->more) return done(std::move(listed));
-  const std::string last = listed.back().id;
-  ListPage(last, std::move(listed), std::move(done));
+  listed_machines.insert(listed_machines.end(), page->machines.begin(), page->machines.end());
+  if (!page->more) return done(std::move(listed_machines));
+  const std::string last = listed_machines.back().id;
+  ListPage(last, std::move(listed_machines), std::move(done));
 }
 
 }  // namespace zinclead::cloud
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,5 +1,6 @@
-// HTTP client of the cloud: scales out and in, and lists what there is. The nodes share the cloud's
-// rate limit, and only the leader calls it. Retries are the callers' business.
+// HTTP client of the cloud's API: scales out and in, and lists machine types and machines. All
+// nodes share the cloud's rate limit, and only the leader calls the cloud. The caller retries
+// failed calls.
 #ifndef ZINCLEAD_CLOUD_CLOUD_CLIENT_H_
 #define ZINCLEAD_CLOUD_CLOUD_CLIENT_H_
 
@@ -17,44 +18,47 @@
 
 namespace zinclead::cloud {
 
+// Outcome of a scale-out request.
 enum class ScaleOutResult {
-  kProvisioned,  // the machines were provisioned, now or by an earlier copy of the request
-  kNoCapacity,   // refused: nothing was provisioned
-  kUnknown,      // no usable answer: machines may have been provisioned, or may still be
+  kProvisioned,  // the machines were provisioned, by this or an earlier copy of the request
+  kNoCapacity,   // refused: no machine was provisioned
+  kUnknown,      // no valid response: machines may have been provisioned or may still be
 };
 
-// Belongs to the loop's thread. Callbacks are never called from inside the call they belong to.
+// Not thread-safe: used only on the loop's thread. No call runs its `done` before it returns.
 class CloudClient {
  public:
   // `loop` must outlive the client.
   CloudClient(net::EventLoop* loop, const config::Settings& settings);
 
-  // nullopt: no usable answer.
+  // Lists the machine types. `done` gets nullopt if there is no valid response.
   using MachineTypesDone = std::function<void(std::optional<std::vector<wire::MachineType>>)>;
   void ListMachineTypes(MachineTypesDone done);
 
-  // Requests machines. A request may be repeated: the cloud executes each name once. With
-  // kProvisioned `machines` are their names.
+  // Requests machines. Idempotent: the cloud executes a request of the same name only once. With
+  // kProvisioned, `machines` holds the ids of the machines.
   using ScaleOutDone = std::function<void(ScaleOutResult, std::vector<std::string> machines)>;
   void ScaleOut(const wire::ScaleOutRequest& request, ScaleOutDone done);
 
-  // Terminates up to wire::kMaxDeleteNames machines. `terminated`: the cloud has confirmed it, so
-  // nothing runs on them any more; otherwise they may or may not have been terminated.
+  // Terminates up to wire::kMaxDeleteNames machines, given by id. `terminated` is true if the cloud
+  // confirmed the termination: no task runs on them any more. Otherwise the machines may or may not
+  // have been terminated.
   using TerminateDone = std::function<void(bool terminated)>;
   void Terminate(const std::vector<std::string>& machines, TerminateDone done);
 
-  // Lists all machines, page by page. nullopt: some page got no usable answer.
+  // Lists all machines, page by page. `done` gets nullopt if any page got no valid response.
   using MachineListDone = std::function<void(std::optional<std::vector<wire::ListedMachine>>)>;
   void ListMachines(MachineListDone done);
 
  private:
   void Call(const char* method, std::string path, std::string body, core::Importance importance,
             std::function<void(const net::Response&)> done);
-  void OnScaleOutAnswered(const net::Response& response, const ScaleOutDone& done);
-  // `listed`: the machines of the pages up to `after`.
-  void ListPage(const std::string& after, std::vector<wire::ListedMachine> listed,
+  void OnScaleOutResponse(const net::Response& response, const ScaleOutDone& done);
+  // Requests the page of machines that follows the id `after_id`. `listed_machines` holds the
+  // machines of the previous pages.
+  void ListPage(const std::string& after_id, std::vector<wire::ListedMachine> listed_machines,
                 MachineListDone done);
-  void OnPage(const net::Response& response, std::vector<wire::ListedMachine> listed,
+  void OnPage(const net::Response& response, std::vector<wire::ListedMachine> listed_machines,
               MachineListDone done);
 
   rpc::RateLimitedClient client_;
--- a/src/net/callback_guard.h
+++ b/src/net/callback_guard.h
@@ -1,5 +1,5 @@
-// Guards callbacks against the end of the object that handed them out: an answer that arrives after
-// its owner was destroyed is dropped.
+// Prevents callbacks from running after the object that created them was destroyed, for example
+// when a response arrives later.
 #ifndef ZINCLEAD_NET_CALLBACK_GUARD_H_
 #define ZINCLEAD_NET_CALLBACK_GUARD_H_
 
@@ -8,12 +8,12 @@
 
 namespace zinclead::net {
 
-// Declare it as the owner's last member, so that it is destroyed first. Not thread-safe: the guard,
-// its tokens and the wrapped callables belong to one thread.
+// Must be the owner's last member, so that it is destroyed first. Not thread-safe: the guard, its
+// tokens and the wrapped callables must be used on one thread.
 class CallbackGuard {
  public:
-  // Tells whether the guard still exists. A method that calls out to code which may destroy its own
-  // object keeps a token and looks at it before it touches a member again.
+  // Shows whether the guard still exists. A method that calls code which may destroy the method's
+  // own object takes a token before the call and checks it before it accesses a member again.
   class Token {
    public:
     [[nodiscard]] bool alive() const { return !guard_.expired(); }
@@ -30,8 +30,8 @@
 
   [[nodiscard]] Token token() const { return Token(guard_); }
 
-  // A callable of the same arguments and no result that calls `callable`, or does nothing once the
-  // guard is destroyed.
+  // Returns a callable without a result that passes its arguments to `callable` while the guard
+  // exists, and does nothing after that.
   template <typename Callable>
   [[nodiscard]] auto Wrap(Callable callable) const {
     return [token = token(), callable = std::move(callable)](auto&&... arguments) mutable {
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -11,21 +11,20 @@
 namespace zinclead::net {
 namespace {
 
-constexpr int kPriorities = 2;
-// After a change of leaders all workers send their heartbeats at once, more than a second's work.
-// With more callbacks at a time the leader's lease was not renewed meanwhile, nor the next one's.
+constexpr int kPriorityCount = 2;
+// Limits how long a lease renewal waits while all workers send heartbeats at once after a failover.
 constexpr int kMaxNormalCallbacksInARow = 4;
-constexpr std::chrono::milliseconds kPause(1);
+constexpr std::chrono::milliseconds kRequestLimitPause(1);
 
 EventBasePtr CreateBase() {
   const EventConfigPtr config(event_config_new());
   if (config == nullptr) return nullptr;
   event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxNormalCallbacksInARow,
                                          static_cast<int>(EventPriority::kNormal));
-  // What a descriptor waits for often changes back before the loop looks at it again.
+  // Saves calls of epoll_ctl when a descriptor's events are changed and changed back before a poll.
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   EventBasePtr base(event_base_new_with_config(config.get()));
-  if (base != nullptr && event_base_priority_init(base.get(), kPriorities) != 0) return nullptr;
+  if (base != nullptr && event_base_priority_init(base.get(), kPriorityCount) != 0) return nullptr;
   return base;
 }
 
@@ -51,23 +50,21 @@
   evthread_use_pthreads();
   base_ = CreateBase();
   if (base_ == nullptr) throw std::runtime_error("cannot create the event loop");
-  // The type of the second argument is libevent's.
+  // libevent declares the second parameter as short.
   // NOLINTNEXTLINE(google-runtime-int)
   const event_callback_fn on_wake = [](evutil_socket_t, short, void* loop) {
     static_cast<EventLoop*>(loop)->RunPostedTasks();
   };
-  wake_.reset(event_new(base_.get(), -1, EV_PERSIST, on_wake, this));
+  wake_event_.reset(event_new(base_.get(), -1, EV_PERSIST, on_wake, this));
 }
 
-// A node that is given a small share of a core pays for a long burst of requests all at once: the
-// kernel stops it until its share has caught up, and events of high priority wait as long as the
-// burst was. On a node that gets 2.4% of a core bursts of 650 ms cost a leader its lease. A pause
-// ends the burst, and the loop then sees the events that have become ready meanwhile.
+// Pauses when the request limit of an iteration is reached. Without the pause the kernel throttles
+// a node with a small CPU share after a long burst of requests, and the leader's lease expires.
 void EventLoop::Run() {
   while (!stopped_) {
-    served_ = 0;
+    requests_served_in_iteration_ = 0;
     event_base_loop(base_.get(), EVLOOP_ONCE | EVLOOP_NO_EXIT_ON_EMPTY);
-    if (RequestLimitReached()) std::this_thread::sleep_for(kPause);
+    if (RequestLimitReached()) std::this_thread::sleep_for(kRequestLimitPause);
   }
 }
 
@@ -77,29 +74,30 @@
 }
 
 bool EventLoop::RequestLimitReached() const {
-  return requests_per_iteration_ > 0 && served_ >= requests_per_iteration_;
+  return max_requests_per_iteration_ > 0 &&
+         requests_served_in_iteration_ >= max_requests_per_iteration_;
 }
 
 void EventLoop::CountServedRequest() {
-  ++served_;
+  ++requests_served_in_iteration_;
   // Events that are ready but not handled yet stay ready for the next iteration.
   if (RequestLimitReached()) event_base_loopbreak(base_.get());
 }
 
 void EventLoop::Post(std::function<void()> task) {
   {
-    const std::scoped_lock lock(posted_mutex_);
-    posted_.push_back(std::move(task));
-    if (posted_.size() > 1) return;  // the loop was woken for the first one already
+    const std::scoped_lock lock(posted_tasks_mutex_);
+    posted_tasks_.push_back(std::move(task));
+    if (posted_tasks_.size() > 1) return;  // the first pending task has already woken the loop
   }
-  event_active(wake_.get(), EV_TIMEOUT, 0);
+  event_active(wake_event_.get(), EV_TIMEOUT, 0);
 }
 
 void EventLoop::RunPostedTasks() {
   std::vector<std::function<void()>> tasks;
   {
-    const std::scoped_lock lock(posted_mutex_);
-    tasks.swap(posted_);
+    const std::scoped_lock lock(posted_tasks_mutex_);
+    tasks.swap(posted_tasks_);
   }
   for (auto& task : tasks) task();
 }
@@ -119,7 +117,7 @@
 }
 
 void EventLoop::Timer::Run() {
-  // The task may restart or destroy the timer: nothing of it is touched afterwards.
+  // The task may restart or destroy this timer, so no member is accessed after the call.
   const std::function<void()> task = std::move(task_);
   Cancel();
   task();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,5 +1,5 @@
-// The I/O loop of the process: one libevent base, run by one thread. Other threads reach it only
-// through Post and Stop.
+// The I/O loop of the process: one libevent base, run by one thread. Other threads may call only
+// Post and Stop.
 #ifndef ZINCLEAD_NET_EVENT_LOOP_H_
 #define ZINCLEAD_NET_EVENT_LOOP_H_
 
@@ -17,17 +17,17 @@
 
 // Seconds on the steady clock.
 [[nodiscard]] double SteadyNow();
-// Seconds since the epoch, within the platform's clock error.
+// Seconds since the epoch, accurate to within the platform's clock error.
 [[nodiscard]] double WallNow();
 
-// Negative durations count as 0.
+// Converts a duration in seconds. A negative duration is converted to 0.
 [[nodiscard]] timeval ToTimeval(double seconds);
 
-// Events of high priority run before all others that are ready, and the loop looks for new ones
-// after every few callbacks of normal priority.
+// Callbacks of high-priority events run before those of all other ready events. The loop polls for
+// new high-priority events after every few callbacks of normal priority.
 enum class EventPriority { kHigh = 0, kNormal = 1 };
 
-// Belongs to the thread that runs it, but for Post and Stop.
+// Not thread-safe except for Post and Stop: used only on the thread that calls Run.
 class EventLoop {
  public:
   // Throws std::runtime_error if libevent cannot create a loop.
@@ -35,20 +35,21 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Runs until Stop.
+  // Runs the loop until Stop is called.
   void Run();
-  // Thread-safe.
+  // Makes Run return. Thread-safe.
   void Stop();
 
-  // After this many requests of normal priority in one iteration the loop pauses briefly; 0: never.
-  void PauseAfterRequests(size_t requests) { requests_per_iteration_ = requests; }
-  // Called by servers for each request of normal priority.
+  // Makes the loop pause briefly after this many requests of normal priority in one iteration. 0
+  // means no limit.
+  void PauseAfterRequests(size_t requests) { max_requests_per_iteration_ = requests; }
+  // Must be called by servers for each request of normal priority.
   void CountServedRequest();
 
-  // Thread-safe: runs `task` on the loop's thread soon, in the order of the calls.
+  // Queues `task` to run on the loop's thread, in the order of the calls. Thread-safe.
   void Post(std::function<void()> task);
 
-  // One-shot timer. Destroying it cancels it.
+  // One-shot timer. Its destructor cancels it.
   class Timer {
    public:
     Timer() = default;
@@ -63,7 +64,8 @@
     EventPtr event_;
     std::function<void()> task_;
   };
-  // Starts `timer` anew. `task` may restart or destroy it. The loop must outlive the timer.
+  // Starts or restarts `timer`, which runs `task` after `delay_s` seconds. `task` may restart or
+  // destroy the timer. The loop must outlive the timer.
   void StartTimer(Timer* timer, double delay_s, std::function<void()> task,
                   EventPriority priority = EventPriority::kNormal);
 
@@ -74,12 +76,12 @@
   void RunPostedTasks();
 
   EventBasePtr base_;
-  EventPtr wake_;
+  EventPtr wake_event_;  // activated by Post
   std::atomic<bool> stopped_ = false;
-  size_t requests_per_iteration_ = 0;
-  size_t served_ = 0;  // in this iteration
-  std::mutex posted_mutex_;
-  std::vector<std::function<void()>> posted_;  // guarded by posted_mutex_
+  size_t max_requests_per_iteration_ = 0;
+  size_t requests_served_in_iteration_ = 0;
+  std::mutex posted_tasks_mutex_;
+  std::vector<std::function<void()>> posted_tasks_;  // guarded by posted_tasks_mutex_
 };
 
 }  // namespace zinclead::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,5 +1,5 @@
-// HTTP client on evhttp: a bounded pool of persistent connections to one address. Every call has a
-// timeout for its whole life; calls beyond the pool wait in a bounded queue.
+// HTTP client on evhttp: a bounded pool of persistent connections to one address. Calls that find
+// no free connection wait in a bounded queue. Each call has a timeout, which includes that wait.
 #ifndef ZINCLEAD_NET_HTTP_CLIENT_H_
 #define ZINCLEAD_NET_HTTP_CLIENT_H_
 
@@ -18,24 +18,24 @@
 
 namespace zinclead::net {
 
-// Belongs to the loop's thread.
+// Not thread-safe: used only on the loop's thread.
 class HttpClient {
  public:
   using Callback = std::function<void(Response)>;
-  // `host` is an IPv4 address. Calls beyond `max_connections` and `max_queue` fail at once, and
-  // responses whose body exceeds `max_response` bytes count as none. `loop` must outlive the
-  // client.
+  // `host` is an IPv4 address. A call fails immediately if all `max_connections` connections are in
+  // use and `max_queued_calls` calls are waiting. A response whose body exceeds
+  // `max_response_bytes` is reported as status 0. `loop` must outlive the client.
   HttpClient(EventLoop* loop, std::string host, uint16_t port, size_t max_connections,
-             size_t max_queue, size_t max_response,
+             size_t max_queued_calls, size_t max_response_bytes,
              EventPriority priority = EventPriority::kNormal);
-  // Calls that are not answered yet are dropped: their callbacks are never called.
+  // Drops the calls that have no response yet: their callbacks are never called.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `method` is GET, POST or DELETE. `done` gets status 0 when no complete response arrived within
-  // `timeout_s`, which says nothing about whether the request was executed. It is never called from
-  // inside Call.
+  // Sends a request. `method` is GET, POST or DELETE. `done` gets status 0 if no complete response
+  // arrives within `timeout_s` seconds: the request may or may not have been executed. `done` is
+  // never called from inside Call.
   void Call(const std::string& method, std::string path, std::string body, double timeout_s,
             Callback done);
 
@@ -45,7 +45,7 @@
     std::string method;
     std::string path;
     std::string body;
-    double deadline = 0;  // on the steady clock
+    double deadline_at = 0;  // seconds on the steady clock
     Callback done;
   };
   static void OnResponse(evhttp_request* request, void* connection);
@@ -60,8 +60,8 @@
   EventLoop* const loop_;
   const std::string host_;
   const uint16_t port_;
-  const size_t max_queue_;
-  const size_t max_response_;
+  const size_t max_queued_calls_;
+  const size_t max_response_bytes_;
   const EventPriority priority_;
   std::vector<std::unique_ptr<Connection>> connections_;
   std::deque<PendingCall> queue_;
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as the client and the server of this package hand them to their callers.
+// HTTP requests and responses, as HttpClient and HttpServer exchange them with their callers.
 #ifndef ZINCLEAD_NET_HTTP_MESSAGE_H_
 #define ZINCLEAD_NET_HTTP_MESSAGE_H_
 
@@ -8,16 +8,16 @@
 
 // A request as a server received it.
 struct ServerRequest {
-  std::string method;  // "OTHER" for those that the server does not name
+  std::string method;  // "OTHER" unless GET, POST, PUT or DELETE
   std::string path;    // without the query
   std::string query;   // without the question mark; empty if there is none
   std::string body;
 };
 
-// A response, to be sent or as received. Bodies are JSON.
+// A response that a server sends or that a client received. Bodies are JSON.
 struct Response {
-  int status = 0;         // 0, at a client: no complete response arrived in time
-  int retry_after_s = 0;  // the Retry-After header; 0: none
+  int status = 0;         // 0 at a client if no complete response arrived in time
+  int retry_after_s = 0;  // the Retry-After header; 0 if there is none
   std::string body;
 };
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -15,10 +15,9 @@
 namespace zinclead::net {
 namespace {
 
-// How many connections evhttp lets wait to be accepted.
-constexpr int kEvhttpBacklog = 128;
+constexpr int kEvhttpListenBacklog = 128;  // set by evhttp itself
 constexpr int kInternalServerError = 500;
-constexpr int kRetryAfterErrorS = 1;
+constexpr int kErrorRetryAfterS = 1;
 
 const char* MethodName(evhttp_cmd_type type) {
   switch (type) {
@@ -60,29 +59,30 @@
   }
 }
 
-// The socket of an answered request nearly always takes the response at once. Without this the loop
-// first asks the kernel whether it does, and each heartbeat costs four calls of epoll_ctl and one
-// more of epoll_wait.
+// Writes the response without polling the socket first, as the socket is nearly always writable.
+// This saves several system calls per heartbeat.
 void WriteWithoutPolling(evhttp_connection* connection) {
   event_active(&evhttp_connection_get_bufferevent(connection)->ev_write, EV_WRITE, 0);
 }
 
-Response InternalError(const char* body) { return {kInternalServerError, kRetryAfterErrorS, body}; }
+Response InternalErrorResponse(const char* body) {
+  return {kInternalServerError, kErrorRetryAfterS, body};
+}
 
 std::string TextOrEmpty(const char* text) { return text == nullptr ? "" : text; }
 
 ServerRequest ReadRequest(evhttp_request* request) {
-  ServerRequest read;
-  read.method = MethodName(evhttp_request_get_command(request));
+  ServerRequest received;
+  received.method = MethodName(evhttp_request_get_command(request));
   const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
   if (uri != nullptr) {
-    read.path = TextOrEmpty(evhttp_uri_get_path(uri));
-    read.query = TextOrEmpty(evhttp_uri_get_query(uri));
+    received.path = TextOrEmpty(evhttp_uri_get_path(uri));
+    received.query = TextOrEmpty(evhttp_uri_get_query(uri));
   }
   evbuffer* input = evhttp_request_get_input_buffer(request);
-  read.body.resize(evbuffer_get_length(input));
-  evbuffer_remove(input, read.body.data(), read.body.size());
-  return read;
+  received.body.resize(evbuffer_get_length(input));
+  evbuffer_remove(input, received.body.data(), received.body.size());
+  return received;
 }
 
 uint16_t BoundPort(evutil_socket_t socket) {
@@ -95,7 +95,7 @@
 }  // namespace
 
 Responder::~Responder() {
-  if (request_ != nullptr) Send(InternalError("{\"error\":\"no answer\"}"));
+  if (request_ != nullptr) Send(InternalErrorResponse("{\"error\":\"no answer\"}"));
 }
 
 void Responder::Send(const Response& response) {
@@ -103,14 +103,14 @@
   evhttp_request* request = std::exchange(request_, nullptr);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Content-Type", "application/json");
-  if (close_connection_) evhttp_add_header(headers, "Connection", "close");
+  if (closes_connection_) evhttp_add_header(headers, "Connection", "close");
   if (response.retry_after_s > 0) {
     evhttp_add_header(headers, "Retry-After", std::to_string(response.retry_after_s).c_str());
   }
   const BufferPtr body(evbuffer_new());
   evbuffer_add(body.get(), response.body.data(), response.body.size());
   evhttp_connection* connection = evhttp_request_get_connection(request);
-  // evhttp frees the request here if its connection has closed in the meantime.
+  // evhttp frees the request here if the connection was closed before the response was sent.
   evhttp_send_reply(request, response.status, ReasonPhrase(response.status), body.get());
   if (connection != nullptr) WriteWithoutPolling(connection);
 }
@@ -132,7 +132,7 @@
   evhttp_set_max_body_size(http, static_cast<ev_ssize_t>(4 * limits.max_body_bytes));
   evhttp_set_max_headers_size(http, static_cast<ev_ssize_t>(limits.max_body_bytes / 4));
   evhttp_set_timeout(http, static_cast<int>(std::ceil(limits.idle_timeout_s)));
-  // All methods, so that the handler answers those that it does not support.
+  // Allows all methods, so that the handler sends the response to unsupported ones.
   evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                        EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
                                        EVHTTP_REQ_PATCH);
@@ -145,20 +145,20 @@
     throw std::runtime_error("cannot listen on " + host + ":" + std::to_string(port));
   }
   const evutil_socket_t socket = evhttp_bound_socket_get_fd(bound);
-  // Far more workers connect at once to a new leader than evhttp lets wait.
-  if (backlog > kEvhttpBacklog && listen(socket, backlog) != 0) {
+  // After a failover more workers connect at once than evhttp's own backlog holds.
+  if (backlog > kEvhttpListenBacklog && listen(socket, backlog) != 0) {
     spdlog::error("cannot set a backlog of {} connections on port {}", backlog, port);
   }
   port_ = BoundPort(socket);
 }
 
-// More workers and users may connect than the node may have sockets. If they took them all, the
-// node could not even reach the key-value store; so beyond the limit a connection lives for one
-// request only.
-bool HttpServer::KeepOpen(evhttp_connection* connection) {
-  if (persistent_.contains(connection)) return true;
-  if (persistent_.size() >= max_persistent_connections_) return false;
-  persistent_.insert(connection);
+// Limits the number of persistent connections; others are closed after one request. Otherwise
+// workers and users could use up the node's sockets, and the node could not reach the key-value
+// store.
+bool HttpServer::TryKeepOpen(evhttp_connection* connection) {
+  if (persistent_connections_.contains(connection)) return true;
+  if (persistent_connections_.size() >= max_persistent_connections_) return false;
+  persistent_connections_.insert(connection);
   bufferevent_priority_set(evhttp_connection_get_bufferevent(connection),
                            static_cast<int>(priority_));
   evhttp_connection_set_closecb(connection, &HttpServer::OnConnectionClosed, this);
@@ -166,7 +166,7 @@
 }
 
 void HttpServer::OnConnectionClosed(evhttp_connection* connection, void* server) {
-  static_cast<HttpServer*>(server)->persistent_.erase(connection);
+  static_cast<HttpServer*>(server)->persistent_connections_.erase(connection);
 }
 
 void HttpServer::OnRequest(evhttp_request* request, void* server) {
@@ -174,15 +174,15 @@
 }
 
 void HttpServer::Handle(evhttp_request* request) {
-  ServerRequest read = ReadRequest(request);
+  ServerRequest received = ReadRequest(request);
   if (priority_ == EventPriority::kNormal) loop_->CountServedRequest();
-  const bool keep_open = KeepOpen(evhttp_request_get_connection(request));
-  const auto responder = std::make_shared<Responder>(request, !keep_open);
+  const bool is_persistent = TryKeepOpen(evhttp_request_get_connection(request));
+  const auto responder = std::make_shared<Responder>(request, !is_persistent);
   try {
-    handler_(std::move(read), responder);
+    handler_(std::move(received), responder);
   } catch (const std::exception& e) {
     spdlog::error("request handler failed: {}", e.what());
-    responder->Send(InternalError("{\"error\":\"internal error\"}"));
+    responder->Send(InternalErrorResponse("{\"error\":\"internal error\"}"));
   }
 }
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,5 @@
-// HTTP server on evhttp. Handlers answer at once or later, through the Responder they are given.
+// HTTP server on evhttp. A handler sends its response, immediately or later, through the Responder
+// that it receives.
 #ifndef ZINCLEAD_NET_HTTP_SERVER_H_
 #define ZINCLEAD_NET_HTTP_SERVER_H_
 
@@ -17,51 +18,53 @@
 
 namespace zinclead::net {
 
-// Answers one request, once; later calls have no effect. If it is destroyed without an answer, the
-// client gets status 500. It must be destroyed before the server.
+// Sends the response to one request. If a responder is destroyed before Send is called, the client
+// gets status 500. Must be destroyed before the server.
 class Responder {
  public:
-  // `close_connection`: the connection ends with the response.
-  explicit Responder(evhttp_request* request, bool close_connection = false)
-      : request_(request), close_connection_(close_connection) {}
+  // `closes_connection`: the connection is closed after the response.
+  explicit Responder(evhttp_request* request, bool closes_connection = false)
+      : request_(request), closes_connection_(closes_connection) {}
   ~Responder();
   Responder(const Responder&) = delete;
   Responder& operator=(const Responder&) = delete;
 
+  // Sends the response. Later calls have no effect.
   void Send(const Response& response);
-  [[nodiscard]] bool answered() const { return request_ == nullptr; }
+  [[nodiscard]] bool has_responded() const { return request_ == nullptr; }
 
  private:
-  evhttp_request* request_;  // null once answered
-  const bool close_connection_;
+  evhttp_request* request_;  // null after Send
+  const bool closes_connection_;
 };
 using ResponderPtr = std::shared_ptr<Responder>;
 
-// Belongs to the loop's thread.
+// Not thread-safe: used only on the loop's thread.
 class HttpServer {
  public:
   using Handler = std::function<void(ServerRequest, ResponderPtr)>;
   struct Limits {
-    // Larger bodies still reach the handler up to four times this size, so that it can refuse them
-    // with a message of its own.
+    // Limit on request bodies, enforced by the handler. Bodies of up to four times this size still
+    // reach it, so that it can reject them with a message of its own.
     size_t max_body_bytes = 0;
-    // Connections that are kept open between requests. Each further one ends with its response.
+    // Connections that are kept open between requests. Others are closed after the response.
     size_t max_persistent_connections = 0;
-    // Connections that may wait to be accepted.
+    // Connections that may be waiting for accept().
     int backlog = 128;
-    // Connections without traffic for this long are closed; whole seconds, rounded up.
+    // Connections without traffic for this long are closed. Rounded up to whole seconds.
     double idle_timeout_s = 0;
     EventPriority priority = EventPriority::kNormal;
   };
-  // Listens on an IPv4 address, port 0 for any that is free. Throws std::runtime_error if it can't.
-  // `loop` must outlive the server. An exception that leaves the handler becomes a status 500.
+  // Listens on `host`, an IPv4 address, and `port`; port 0 selects a free port. Throws
+  // std::runtime_error if it cannot listen. `loop` must outlive the server. If the handler throws
+  // an exception, the client gets status 500.
   HttpServer(EventLoop* loop, const std::string& host, uint16_t port, const Limits& limits,
              Handler handler);
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
   [[nodiscard]] uint16_t port() const { return port_; }
-  [[nodiscard]] size_t persistent_connections() const { return persistent_.size(); }
+  [[nodiscard]] size_t persistent_connections() const { return persistent_connections_.size(); }
 
  private:
   static void OnRequest(evhttp_request* request, void* server);
@@ -69,16 +72,17 @@
   void Configure(const Limits& limits);
   void Listen(const std::string& host, uint16_t port, int backlog);
   void Handle(evhttp_request* request);
-  // Returns false if the connection must end with its response.
-  bool KeepOpen(evhttp_connection* connection);
+  // Returns false if the connection must be closed after the response.
+  bool TryKeepOpen(evhttp_connection* connection);
 
   EventLoop* const loop_;
   const size_t max_persistent_connections_;
   const EventPriority priority_;
   const Handler handler_;
   uint16_t port_ = 0;
-  std::unordered_set<evhttp_connection*> persistent_;
-  HttpServerPtr http_;  // destroyed first: closing its connections changes persistent_
+  std::unordered_set<evhttp_connection*> persistent_connections_;
+  // Last member, destroyed first: closing its connections modifies persistent_connections_.
+  HttpServerPtr http_;
 };
 
 }  // namespace zinclead::net
--- a/src/net/libevent_handles.h
+++ b/src/net/libevent_handles.h
@@ -1,4 +1,4 @@
-// Owning pointers to libevent's objects.
+// Owning pointers to libevent objects.
 #ifndef ZINCLEAD_NET_LIBEVENT_HANDLES_H_
 #define ZINCLEAD_NET_LIBEVENT_HANDLES_H_
 
@@ -10,6 +10,7 @@
 
 namespace zinclead::net {
 
+// Deleter that calls the libevent function `kFree`.
 template <auto kFree>
 struct LibeventDeleter {
   template <typename Object>
--- a/src/rpc/rate_limited_client.cc
+++ b/src/rpc/rate_limited_client.cc
@@ -35,9 +35,10 @@
              });
 }
 
-void RateLimitedClient::ReportMalformedResponse(const char* call) {
+void RateLimitedClient::ReportMalformedResponse(const char* operation) {
   ++malformed_responses_;
-  spdlog::error("{}: malformed response to {} ({} so far)", service_, call, malformed_responses_);
+  spdlog::error("{}: malformed response to {} ({} so far)", service_, operation,
+                malformed_responses_);
 }
 
 }  // namespace zinclead::rpc
--- a/src/rpc/rate_limited_client.h
+++ b/src/rpc/rate_limited_client.h
@@ -1,6 +1,6 @@
-// HTTP client of a service that limits the rate of its requests, shared by the clients of the
-// key-value store and of the cloud. It keeps to the limit with a token bucket, so that calls of
-// lesser importance cannot use up what greater ones need.
+// HTTP client of a service with a rate limit on requests, used by the clients of the key-value
+// store and of the cloud. A token bucket keeps the client within the limit and reserves a part of
+// the limit for the more important calls.
 #ifndef ZINCLEAD_RPC_RATE_LIMITED_CLIENT_H_
 #define ZINCLEAD_RPC_RATE_LIMITED_CLIENT_H_
 
@@ -18,25 +18,26 @@
 
 namespace zinclead::rpc {
 
-// Calls that wait for a connection; further ones fail at once.
+// Calls that may wait for a connection. Further calls fail immediately.
 inline constexpr size_t kMaxQueuedCalls = 64;
-// Responses above this size count as none. The largest known is a page of the store's keys, at most
+// A larger response is reported as status 0. The largest is a page of the store's keys, up to
 // 512 KiB.
 inline constexpr size_t kMaxResponseBytes = size_t{1024} * 1024;
 
+// A request to the service.
 struct Request {
   const char* method = "GET";
   std::string path;
   std::string body;
-  double timeout_s = 0;  // of the whole call, the wait for a connection included
+  double timeout_s = 0;  // for the whole call, including the wait for a connection
   core::Importance importance = core::Importance::kNormal;
 };
 
-// Belongs to the loop's thread.
+// Not thread-safe: used only on the loop's thread.
 class RateLimitedClient {
  public:
   struct Options {
-    std::string service;  // its name in log lines
+    std::string service;  // the service's name in log lines
     config::Endpoint address;
     size_t max_connections = 1;
     net::EventPriority priority = net::EventPriority::kNormal;
@@ -45,17 +46,18 @@
   // `loop` must outlive the client.
   RateLimitedClient(net::EventLoop* loop, const Options& options);
 
-  // Calls the service unless the rate limit forbids it. `done` gets nullopt if the request was not
-  // sent for that reason, and a response of status 0 if no complete one arrived in time, which
-  // leaves open whether it was executed. It is never called from inside Call.
+  // Sends `request` if the rate limit allows it; otherwise `done` gets nullopt. If no complete
+  // response arrives in time, `done` gets a response with status 0: the request may or may not have
+  // been executed. `done` is never called from inside Call.
   using Done = std::function<void(const std::optional<net::Response>&)>;
   void Call(Request request, Done done);
 
-  // Takes a token for a request that is sent in another way. Returns false if there is none.
+  // Takes a token for a request that is sent by another client of the same service. Returns false
+  // if the rate limit does not allow the request now.
   [[nodiscard]] bool TakeToken(core::Importance importance);
 
-  // Counts and logs a response that could not be parsed; `call` names what was asked.
-  void ReportMalformedResponse(const char* call);
+  // Counts and logs a response that could not be parsed. `operation` names the request.
+  void ReportMalformedResponse(const char* operation);
 
  private:
   net::EventLoop* const loop_;
--- a/src/state/batch_builder.cc
+++ b/src/state/batch_builder.cc
@@ -10,10 +10,9 @@
 namespace zinclead::state {
 namespace {
 
-// How long a refused record is set aside, in retry intervals.
-constexpr double kRejectedRecordRetries = 50;
-// Half of what a request may hold altogether leaves room for keys, preconditions and syntax.
-constexpr size_t kMaxBatchBytes = wire::kMaxBody / 2;
+constexpr double kRejectedRecordExclusionRetryIntervals = 50;
+// The other half of the body is for keys, preconditions and JSON syntax.
+constexpr size_t kMaxBatchValueBytes = wire::kMaxBody / 2;
 
 }  // namespace
 
@@ -22,7 +21,7 @@
     : versions_(versions),
       write_tokens_(write_tokens),
       store_max_writes_(max_writes),
-      max_writes_(max_writes),
+      current_max_writes_(max_writes),
       retry_s_(retry_s) {}
 
 BatchBuilder::Result BatchBuilder::Build(core::Cluster* cluster) {
@@ -33,38 +32,39 @@
   if (wait_s > 0) return {std::nullopt, wait_s};
 
   const double now = net::SteadyNow();
-  std::erase_if(rejected_until_, [now](const auto& entry) { return entry.second <= now; });
-  size_t remaining_bytes = kMaxBatchBytes;
-  for (const std::string& key : cluster->DequeueRecords(max_writes_ + rejected_until_.size())) {
+  std::erase_if(excluded_until_, [now](const auto& entry) { return entry.second <= now; });
+  size_t remaining_bytes = kMaxBatchValueBytes;
+  for (const std::string& key :
+       cluster->DequeueRecords(current_max_writes_ + excluded_until_.size())) {
     if (!AddRecord(key, cluster, &batch, &remaining_bytes)) cluster->Requeue(key);
   }
   if (!batch.writes.empty()) return {std::move(batch), std::nullopt};
-  if (!rejected_until_.empty()) return {std::nullopt, retry_s_};
+  if (!excluded_until_.empty()) return {std::nullopt, retry_s_};
   return {};
 }
 
 bool BatchBuilder::AddRecord(const std::string& key, core::Cluster* cluster, Batch* batch,
                              size_t* remaining_bytes) {
-  if (rejected_until_.contains(key) || batch->writes.size() == max_writes_) return false;
+  if (excluded_until_.contains(key) || batch->writes.size() == current_max_writes_) return false;
   std::optional<wire::Json> value = cluster->Serialize(key);
   const size_t size = value ? value->dump().size() : 0;
-  // A record that is too large by itself is sent alone: the store decides.
+  // A value above the limit is sent as the only value of a batch: the store accepts or rejects it.
   if (size > *remaining_bytes && !batch->writes.empty()) return false;
   *remaining_bytes -= std::min(*remaining_bytes, size);
-  if (!value && versions_->Of(key) == 0) {
-    cluster->OnStored(key, net::SteadyNow());  // there is nothing to delete
+  if (!value && versions_->GetVersion(key) == 0) {
+    cluster->OnStored(key, net::SteadyNow());  // the key does not exist: nothing to delete
     return true;
   }
   if (!write_tokens_->Take(net::SteadyNow(), 1, cluster->ImportanceOf(key))) return false;
-  // Deleting the key would make "it does not exist" true again for the late copy.
-  if (!value && possibly_resurrected_.contains(key)) value = core::EmptiedRecord();
+  // Once the key is deleted, a late copy of the batch that created it would succeed again.
+  if (!value && possibly_recreated_keys_.contains(key)) value = core::EmptiedRecord();
   batch->writes.push_back({key, std::move(value), std::nullopt});
   return true;
 }
 
 void BatchBuilder::OnOutcomeUnknown(const Batch& batch) {
   for (const wire::StoreWrite& write : batch.writes) {
-    if (versions_->Of(write.key) == 0) possibly_resurrected_.insert(write.key);
+    if (versions_->GetVersion(write.key) == 0) possibly_recreated_keys_.insert(write.key);
   }
 }
 
@@ -72,13 +72,13 @@
   const size_t count = batch.writes.size();
   if (count > 1) {
     spdlog::info("compare-and-swap of {} records refused as malformed, retrying with fewer", count);
-    max_writes_ = (count + 1) / 2;
+    current_max_writes_ = (count + 1) / 2;
     return;
   }
   const std::string& key = batch.writes.front().key;
   spdlog::error("record {} refused as malformed, set aside", key);
-  rejected_until_[key] = net::SteadyNow() + kRejectedRecordRetries * retry_s_;
-  max_writes_ = store_max_writes_;
+  excluded_until_[key] = net::SteadyNow() + kRejectedRecordExclusionRetryIntervals * retry_s_;
+  current_max_writes_ = store_max_writes_;
 }
 
 }  // namespace zinclead::state
--- a/src/state/batch_builder.h
+++ b/src/state/batch_builder.h
@@ -1,8 +1,9 @@
-// Turns the cluster's queue of changed records into batches, each written by one compare-and-swap.
+// Builds batches from the cluster's queue of changed records. Each batch is written to the
+// key-value store by one compare-and-swap.
 //
-// A batch is bounded by the store's limit on writes, by the size of a request body and by the rate
-// limit on writes. Records that the store refuses are set aside for a while, so that they don't
-// hold up the others.
+// The size of a batch is bounded by the store's limit on writes per request, by the size of a
+// request body and by the write rate limit. A record that the store rejects on its own is excluded
+// for some time, so that it does not block the other records.
 #ifndef ZINCLEAD_STATE_BATCH_BUILDER_H_
 #define ZINCLEAD_STATE_BATCH_BUILDER_H_
 
@@ -20,50 +21,56 @@
 
 namespace zinclead::state {
 
+// Records that are written by one compare-and-swap.
 struct Batch {
-  core::Importance importance = core::Importance::kNormal;  // of its most important record
-  std::vector<wire::StoreWrite> writes;                     // one a key
-  bool outcome_unknown = false;  // some copy of it may have been executed, or may still be
+  core::Importance importance = core::Importance::kNormal;  // the highest of the queued records
+  std::vector<wire::StoreWrite> writes;                     // at most one per key
+  bool is_outcome_unknown = false;  // a copy that was sent may have been executed or may still be
 };
 
+// Not thread-safe.
 class BatchBuilder {
  public:
   // `versions` and `write_tokens` must outlive the builder. `max_writes` is the store's limit on
-  // the writes of one request, `retry_s` the time between retries in seconds.
+  // writes per request, `retry_s` the delay between retries in seconds.
   BatchBuilder(const KeyVersions* versions, core::TokenBucket* write_tokens, size_t max_writes,
                double retry_s);
 
   struct Result {
     std::optional<Batch> batch;
-    // Without a batch: seconds after which to ask again; nullopt: once a record is queued.
+    // Set if no batch can be built yet: seconds until the next call of Build. If neither field is
+    // set, there is nothing to write until a record is queued.
     std::optional<double> retry_in_s;
   };
-  // Takes records off the queue of `cluster`, whose lock the caller holds. The records of the batch
-  // stay dequeued until the caller reports them stored or queues them again.
+  // Dequeues records of `cluster`, whose lock the caller holds, and builds a batch from them. The
+  // caller must report each record of the batch to the cluster as stored or requeue it.
   [[nodiscard]] Result Build(core::Cluster* cluster);
 
-  // The batch got no answer: it may create its keys now or at any later time.
+  // Must be called when the batch got no response: it may be executed now or at any later time, and
+  // may then create its keys.
   void OnOutcomeUnknown(const Batch& batch);
 
-  // The store refused the batch as malformed: too many writes, too large a value, or a reason of
-  // its own; its limits may have been lowered without notice. Later batches are smaller, down to
-  // the one record at fault, which is then set aside.
+  // Must be called when the store refused the batch as malformed. The store's limits may have been
+  // lowered without notice, so the next batches are halved until a batch of one record is refused;
+  // that record is then excluded from batches for some time.
   void OnInvalidRequest(const Batch& batch);
 
  private:
-  // Returns false for a record that must wait for another batch.
+  // Returns false if the record does not fit in this batch and must be requeued.
   bool AddRecord(const std::string& key, core::Cluster* cluster, Batch* batch,
                  size_t* remaining_bytes);
 
   const KeyVersions* const versions_;
   core::TokenBucket* const write_tokens_;
   const size_t store_max_writes_;
-  size_t max_writes_;  // below the store's limit while it refuses batches as malformed
+  size_t current_max_writes_;  // below the store's limit after a batch was refused as malformed
   const double retry_s_;
-  // Records that the store refused by themselves, and until when (steady clock) they are set aside.
-  std::unordered_map<std::string, double> rejected_until_;
-  // Keys whose creation may still be repeated by a late copy of a batch of unknown outcome.
-  std::unordered_set<std::string> possibly_resurrected_;
+  // Key of each record that the store rejected on its own -> time on the steady clock, in seconds,
+  // until which the record is excluded from batches.
+  std::unordered_map<std::string, double> excluded_until_;
+  // Keys that a late copy of a batch of unknown outcome may create. They must not be deleted in
+  // this term.
+  std::unordered_set<std::string> possibly_recreated_keys_;
 };
 
 }  // namespace zinclead::state
--- a/src/state/committer.cc
+++ b/src/state/committer.cc
@@ -21,11 +21,11 @@
                retry_s_) {}
 
 void Committer::RetryLater(void (Committer::*step)()) {
-  loop_->StartTimer(&timer_, retry_s_, [this, step] { (this->*step)(); });
+  loop_->StartTimer(&retry_timer_, retry_s_, [this, step] { (this->*step)(); });
 }
 
 void Committer::Flush() {
-  if (in_flight_ || timer_.pending()) return;
+  if (in_flight_ || retry_timer_.pending()) return;
   if (BuildBatch()) SendBatch();
 }
 
@@ -33,7 +33,7 @@
   BatchBuilder::Result result =
       cluster_->WithLock([this](core::Cluster& cluster) { return builder_.Build(&cluster); });
   if (result.retry_in_s) {
-    loop_->StartTimer(&timer_, *result.retry_in_s, [this] { Flush(); });
+    loop_->StartTimer(&retry_timer_, *result.retry_in_s, [this] { Flush(); });
   }
   in_flight_ = std::move(result.batch);
   return in_flight_.has_value();
@@ -42,17 +42,17 @@
 void Committer::SendBatch() {
   std::vector<wire::VersionPrecondition> preconditions{fence_};
   for (const wire::StoreWrite& write : in_flight_->writes) {
-    preconditions.push_back({write.key, versions_.Of(write.key)});
+    preconditions.push_back({write.key, versions_.GetVersion(write.key)});
   }
   store_->CompareAndSwap(preconditions, in_flight_->writes, in_flight_->importance,
                          guard_.Wrap([this](Outcome outcome, uint64_t revision,
                                             const std::vector<std::string>& failed_keys) {
-                           OnAnswer(outcome, revision, failed_keys);
+                           OnResponse(outcome, revision, failed_keys);
                          }));
 }
 
-void Committer::OnAnswer(Outcome outcome, uint64_t revision,
-                         const std::vector<std::string>& failed_keys) {
+void Committer::OnResponse(Outcome outcome, uint64_t revision,
+                           const std::vector<std::string>& failed_keys) {
   switch (outcome) {
     case Outcome::kOk:
       return OnExecuted(revision);
@@ -80,23 +80,24 @@
 void Committer::OnConflict(const std::vector<std::string>& failed_keys) {
   if (std::find(failed_keys.begin(), failed_keys.end(), fence_.key) != failed_keys.end()) {
     spdlog::info("compare-and-swap fenced off: another leader was elected");
-    const auto on_fenced = hooks_.on_fenced;  // a copy, as the call may destroy the committer
+    const auto on_fenced = hooks_.on_fenced;  // a copy: the call may destroy the committer
     return on_fenced();
   }
-  // Either an earlier copy of the batch took effect after all, or our versions are wrong.
+  // Either an earlier copy of the batch was executed, or the versions in the request are outdated.
   ReadBackBatch();
 }
 
-// Sending the same batch again is safe: its answer, or what is read back, decides.
+// Resends the batch. This is safe: if the first copy was executed, the second one conflicts because
+// of the key versions, and the keys are read back.
 void Committer::OnOutcomeUnknown() {
   spdlog::info("compare-and-swap of {} records got no answer, retrying", in_flight_->writes.size());
-  in_flight_->outcome_unknown = true;
+  in_flight_->is_outcome_unknown = true;
   builder_.OnOutcomeUnknown(*in_flight_);
   RetryLater(&Committer::SendBatch);
 }
 
 void Committer::OnUnavailable() {
-  if (in_flight_->outcome_unknown) return RetryLater(&Committer::SendBatch);
+  if (in_flight_->is_outcome_unknown) return RetryLater(&Committer::SendBatch);
   RequeueBatch();
   RetryLater(&Committer::Flush);
 }
@@ -116,7 +117,8 @@
 void Committer::OnReadBack(const std::optional<ReadBackResult>& result) {
   if (!result) return RetryLater(&Committer::ReadBackBatch);
   if (result->matches_batch) return FinishBatch(result->versions);
-  // It did not take effect, and with the versions it was sent with it never will: write anew.
+  // The batch was not executed, and its versions are outdated, so no late copy of it can be
+  // executed. The next batch holds the same records with the versions just read.
   versions_.Update(result->versions);
   RequeueBatch();
   Flush();
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -1,13 +1,15 @@
-// Writes the cluster's changed records to the store, write-behind: one batch at a time, each a
-// compare-and-swap on the leader key (the fencing version) and on the version of every key it
-// writes.
+// Writes the cluster's changed records to the key-value store in the background (write-behind), one
+// batch at a time. Each batch is a compare-and-swap on the version of the leader key (the fencing
+// version) and on the version of every key that the batch writes.
 //
-// The fencing version makes late requests of an earlier leader fail. The keys' versions make late
-// copies of this leader's own requests fail: without them a repeated old write could undo a newer
-// one. "The key does not exist" is the one precondition that a deletion makes true again, so a key
-// that was created by a batch of which a copy may still be in flight is not deleted in the same
-// term: it is emptied (core::EmptiedRecord), and the next leader, whose fencing version stops the
-// copy, deletes it.
+// The fencing version makes late requests of an earlier leader fail. The versions of the keys make
+// late copies of this leader's own requests fail; otherwise a late copy could overwrite a newer
+// value.
+//
+// Deleting a key makes the precondition "the key does not exist" true again. Therefore a key that
+// was created by a batch of unknown outcome is not deleted in the same term: its value is replaced
+// by core::EmptiedRecord. The next leader deletes the key, as its fencing version makes the late
+// copy fail.
 #ifndef ZINCLEAD_STATE_COMMITTER_H_
 #define ZINCLEAD_STATE_COMMITTER_H_
 
@@ -29,28 +31,31 @@
 
 namespace zinclead::state {
 
-// Belongs to the loop's thread.
+// Not thread-safe: used only on the loop's thread.
 class Committer {
  public:
   struct Hooks {
-    std::function<void()> on_stored;  // some records became durable
-    std::function<void()> on_fenced;  // another leader holds the key; may destroy the committer
+    // Called after records became durable. May destroy the committer.
+    std::function<void()> on_stored;
+    // Called when a write fails because another leader was elected. May destroy the committer.
+    std::function<void()> on_fenced;
   };
-  // `loop`, `store` and `cluster` must outlive the committer. `fence` is the leader key with the
-  // version it got when this leader was elected, `versions` those of all records that exist.
+  // `loop`, `store` and `cluster` must outlive the committer. `fence` requires the leader key to
+  // have the version that it got when this leader was elected. `versions` holds the version of
+  // every record that exists.
   Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
             core::LockedCluster* cluster, wire::VersionPrecondition fence,
             std::unordered_map<std::string, uint64_t> versions, Hooks hooks);
   Committer(const Committer&) = delete;
   Committer& operator=(const Committer&) = delete;
 
-  // Sends the next batch if records are queued and no batch is in flight.
+  // Sends the next batch if records are queued, no batch is in flight and no retry is scheduled.
   void Flush();
 
  private:
   bool BuildBatch();
   void SendBatch();
-  void OnAnswer(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed_keys);
+  void OnResponse(Outcome outcome, uint64_t revision, const std::vector<std::string>& failed_keys);
   void OnExecuted(uint64_t revision);
   void OnConflict(const std::vector<std::string>& failed_keys);
   void OnOutcomeUnknown();
@@ -58,10 +63,12 @@
   void OnInvalidRequest();
   void ReadBackBatch();
   void OnReadBack(const std::optional<ReadBackResult>& result);
-  // The batch took effect: the keys have these versions now.
+  // Reports the records of the executed batch as stored. `versions`: the new versions of its keys.
   void FinishBatch(const KeyVersions::Map& versions);
-  // The batch did not take effect, or will be found to conflict when it is sent again.
+  // Queues the records of the failed batch again. If a copy of the batch was executed after all,
+  // the next write of these keys conflicts, and the keys are read back.
   void RequeueBatch();
+  // Calls `step` after the retry delay.
   void RetryLater(void (Committer::*step)());
 
   net::EventLoop* const loop_;
@@ -73,7 +80,7 @@
   KeyVersions versions_;
   BatchBuilder builder_;
   std::optional<Batch> in_flight_;
-  net::EventLoop::Timer timer_;
+  net::EventLoop::Timer retry_timer_;
   net::CallbackGuard guard_;
 };
 
--- a/src/state/key_versions.h
+++ b/src/state/key_versions.h
@@ -1,4 +1,4 @@
-// The versions of the keys in the store, as the leader knows them.
+// The last known versions of the keys in the key-value store.
 #ifndef ZINCLEAD_STATE_KEY_VERSIONS_H_
 #define ZINCLEAD_STATE_KEY_VERSIONS_H_
 
@@ -9,18 +9,20 @@
 
 namespace zinclead::state {
 
+// Version 0 means that the key does not exist. Not thread-safe.
 class KeyVersions {
  public:
-  // Version 0: the key does not exist.
   using Map = std::unordered_map<std::string, uint64_t>;
 
   explicit KeyVersions(Map versions) : versions_(std::move(versions)) {}
 
-  [[nodiscard]] uint64_t Of(const std::string& key) const {
+  // Returns 0 for an unknown key.
+  [[nodiscard]] uint64_t GetVersion(const std::string& key) const {
     const auto it = versions_.find(key);
     return it == versions_.end() ? 0 : it->second;
   }
 
+  // Replaces the versions of the keys in `updates`.
   void Update(const Map& updates) {
     for (const auto& [key, version] : updates) {
       if (version == 0) {
@@ -32,7 +34,7 @@
   }
 
  private:
-  Map versions_;  // of existing keys only
+  Map versions_;  // holds no version 0
 };
 
 }  // namespace zinclead::state
--- a/src/state/read_back.cc
+++ b/src/state/read_back.cc
@@ -6,10 +6,11 @@
 namespace zinclead::state {
 namespace {
 
-// Collects the answers to the reads of one batch.
+// Collects the responses to the reads of one batch.
 class ReadCollector {
  public:
-  ReadCollector(size_t reads, ReadBackDone done) : remaining_(reads), done_(std::move(done)) {}
+  ReadCollector(size_t read_count, ReadBackDone done)
+      : remaining_reads_(read_count), done_(std::move(done)) {}
 
   void OnRead(const wire::StoreWrite& write, Outcome outcome,
               const std::optional<wire::StoreItem>& item) {
@@ -20,15 +21,15 @@
       result_.versions[write.key] = 0;
       if (write.value) result_.matches_batch = false;
     } else {
-      failed_ = true;
+      has_failed_read_ = true;
     }
-    if (--remaining_ > 0) return;
-    done_(failed_ ? std::nullopt : std::optional(std::move(result_)));
+    if (--remaining_reads_ > 0) return;
+    done_(has_failed_read_ ? std::nullopt : std::optional(std::move(result_)));
   }
 
  private:
-  size_t remaining_;
-  bool failed_ = false;
+  size_t remaining_reads_;
+  bool has_failed_read_ = false;
   ReadBackResult result_;
   const ReadBackDone done_;
 };
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -7,13 +7,12 @@
 namespace zinclead::state {
 namespace {
 
-// Of the sockets that the node may have.
-constexpr double kSocketShare = 0.005;
+constexpr double kShareOfNodeSockets = 0.005;
 constexpr size_t kMinConnections = 3;
 constexpr size_t kWatchConnections = 2;
-// Only the leader writes much, so that it gets nearly all of the writes; the rest is for elections.
-constexpr double kWriteRateShare = 0.9;
-// A listing's page takes longer than a single key.
+// The rest is for the writes of leader elections.
+constexpr double kLeaderShareOfWriteRate = 0.9;
+// Listing a page takes longer than reading a key.
 constexpr double kListTimeoutFactor = 2;
 
 // All nodes share the store's rate limit.
@@ -25,13 +24,13 @@
   rpc::RateLimitedClient::Options options;
   options.service = "key-value store";
   options.address = settings.state;
-  options.max_connections = settings.PoolSize(kSocketShare, kMinConnections);
+  options.max_connections = settings.PoolSize(kShareOfNodeSockets, kMinConnections);
   options.priority = net::EventPriority::kHigh;
   options.requests_per_s = RequestsPerSecond(settings);
   return options;
 }
 
-int64_t Milliseconds(double seconds) { return static_cast<int64_t>(seconds * 1000); }
+int64_t ToMilliseconds(double seconds) { return static_cast<int64_t>(seconds * 1000); }
 
 Outcome Classify(const net::Response& response) {
   switch (response.status) {
@@ -57,11 +56,12 @@
 StoreClient::StoreClient(net::EventLoop* loop, const config::Settings& settings)
     : loop_(loop),
       client_(loop, ClientOptions(settings)),
-      // A watch's response has no size limit, but ours watch one key each.
-      watches_(loop, settings.state.host, settings.state.port, kWatchConnections,
-               rpc::kMaxQueuedCalls, rpc::kMaxResponseBytes, net::EventPriority::kHigh),
-      write_tokens_(settings.state_write_rps * kWriteRateShare,
-                    settings.state_write_rps * kWriteRateShare),
+      // The store does not limit the size of a watch's response, but each watch here covers one
+      // key.
+      watch_client_(loop, settings.state.host, settings.state.port, kWatchConnections,
+                    rpc::kMaxQueuedCalls, rpc::kMaxResponseBytes, net::EventPriority::kHigh),
+      write_tokens_(settings.state_write_rps * kLeaderShareOfWriteRate,
+                    settings.state_write_rps * kLeaderShareOfWriteRate),
       timeout_s_(std::clamp(settings.heartbeat_interval_s / 2, 0.5, 2.0)) {}
 
 void StoreClient::Call(rpc::Request request,
@@ -76,11 +76,11 @@
 void StoreClient::Get(const std::string& key, core::Importance importance, GetDone done) {
   Call({"GET", wire::StoreKeyPath(key), "", timeout_s_, importance},
        [this, done = std::move(done)](Outcome outcome, const net::Response& response) {
-         OnGetAnswered(outcome, response, done);
+         OnGetResponse(outcome, response, done);
        });
 }
 
-void StoreClient::OnGetAnswered(Outcome outcome, const net::Response& response,
+void StoreClient::OnGetResponse(Outcome outcome, const net::Response& response,
                                 const GetDone& done) {
   if (outcome == Outcome::kNotFound) {
     const auto revision = wire::ParseRevision(response.body);
@@ -98,9 +98,9 @@
   done(Outcome::kUnknown, std::nullopt, 0);
 }
 
-void StoreClient::List(const std::string& prefix, const std::string& after,
+void StoreClient::List(const std::string& prefix, const std::string& after_key,
                        core::Importance importance, ListDone done) {
-  Call({"GET", wire::StoreListPath(prefix, after, wire::kMaxKeysPerPage), "",
+  Call({"GET", wire::StoreListPath(prefix, after_key, wire::kMaxKeysPerPage), "",
         kListTimeoutFactor * timeout_s_, importance},
        [this, done = std::move(done)](Outcome outcome, const net::Response& response) {
          if (outcome != Outcome::kOk) return done(outcome, {});
@@ -119,11 +119,11 @@
   Call({"POST", std::string(wire::kCompareAndSwapPath),
         wire::CompareAndSwapBody(preconditions, writes), timeout_s_, importance},
        [this, done = std::move(done)](Outcome outcome, const net::Response& response) {
-         OnCompareAndSwapAnswered(outcome, response, done);
+         OnCompareAndSwapResponse(outcome, response, done);
        });
 }
 
-void StoreClient::OnCompareAndSwapAnswered(Outcome outcome, const net::Response& response,
+void StoreClient::OnCompareAndSwapResponse(Outcome outcome, const net::Response& response,
                                            const CompareAndSwapDone& done) {
   if (response.status == 429) write_tokens_.Drain(net::SteadyNow());
   if (outcome == Outcome::kConflict) return done(outcome, 0, wire::ParseFailedKeys(response.body));
@@ -137,7 +137,7 @@
 }
 
 void StoreClient::Grant(double ttl_s, LeaseDone done) {
-  Call({"POST", std::string(wire::kLeasesPath), wire::LeaseBody(Milliseconds(ttl_s)), timeout_s_,
+  Call({"POST", std::string(wire::kLeasesPath), wire::LeaseBody(ToMilliseconds(ttl_s)), timeout_s_,
         core::Importance::kLeadership},
        [this, done = std::move(done)](Outcome outcome, const net::Response& response) {
          if (outcome != Outcome::kOk) return done(outcome, 0);
@@ -159,14 +159,16 @@
        [](Outcome, const net::Response&) {});
 }
 
-void StoreClient::Watch(const std::string& prefix, uint64_t after, double wait_s, WatchDone done) {
+void StoreClient::Watch(const std::string& prefix, uint64_t after_revision, double wait_s,
+                        WatchDone done) {
   if (!client_.TakeToken(core::Importance::kLeadership)) {
     loop_->Post([done = std::move(done)] { done(Outcome::kUnavailable); });
     return;
   }
-  watches_.Call(
-      "GET", wire::WatchPath(prefix, after, Milliseconds(wait_s)), "", wait_s + timeout_s_,
-      [done = std::move(done)](const net::Response& response) { done(Classify(response)); });
+  watch_client_.Call("GET", wire::WatchPath(prefix, after_revision, ToMilliseconds(wait_s)), "",
+                     wait_s + timeout_s_, [done = std::move(done)](const net::Response& response) {
+                       done(Classify(response));
+                     });
 }
 
 }  // namespace zinclead::state
--- a/src/state/store_client.h
+++ b/src/state/store_client.h
@@ -1,5 +1,5 @@
-// HTTP client of the consensus-backed key-value store. Each call is one request, and its outcome
-// says what the response proves. Retries are the callers' business.
+// HTTP client of the consensus-backed key-value store. Each call sends one request; the caller
+// retries it if necessary.
 #ifndef ZINCLEAD_STATE_STORE_CLIENT_H_
 #define ZINCLEAD_STATE_STORE_CLIENT_H_
 
@@ -18,7 +18,7 @@
 
 namespace zinclead::state {
 
-// Belongs to the loop's thread. Callbacks are never called from inside the call they belong to.
+// Not thread-safe: used only on the loop's thread. No call runs its `done` before it returns.
 class StoreClient : public LeaseStore {
  public:
   // `loop` must outlive the client.
@@ -31,25 +31,27 @@
   void Grant(double ttl_s, LeaseDone done) override;
   void Renew(uint64_t lease, double timeout_s, LeaseDone done) override;
   void Revoke(uint64_t lease) override;
-  void Watch(const std::string& prefix, uint64_t after, double wait_s, WatchDone done) override;
+  void Watch(const std::string& prefix, uint64_t after_revision, double wait_s,
+             WatchDone done) override;
 
-  // One page of the keys under `prefix` that come after the key `after`, in key order.
+  // Reads one page of the keys under `prefix` that follow the key `after_key`, in key order.
   using ListDone = std::function<void(Outcome, wire::StorePage)>;
-  void List(const std::string& prefix, const std::string& after, core::Importance importance,
+  void List(const std::string& prefix, const std::string& after_key, core::Importance importance,
             ListDone done);
 
-  // Writes have a rate limit of their own, one token a key. Whoever builds a batch takes them.
+  // Token bucket for the store's limit on writes, one token per key. CompareAndSwap takes no tokens
+  // from it: the caller does when it builds a batch.
   core::TokenBucket& write_tokens() { return write_tokens_; }
 
  private:
   void Call(rpc::Request request, std::function<void(Outcome, const net::Response&)> done);
-  void OnGetAnswered(Outcome outcome, const net::Response& response, const GetDone& done);
-  void OnCompareAndSwapAnswered(Outcome outcome, const net::Response& response,
+  void OnGetResponse(Outcome outcome, const net::Response& response, const GetDone& done);
+  void OnCompareAndSwapResponse(Outcome outcome, const net::Response& response,
                                 const CompareAndSwapDone& done);
 
   net::EventLoop* const loop_;
   rpc::RateLimitedClient client_;
-  net::HttpClient watches_;  // a watch keeps its connection busy for its whole wait
+  net::HttpClient watch_client_;  // separate, as a watch occupies its connection for its duration
   core::TokenBucket write_tokens_;
   const double timeout_s_;
 };
--- a/tests/callback_guard_test.cc
+++ b/tests/callback_guard_test.cc
@@ -1,4 +1,4 @@
-// Callbacks that outlive the object that handed them out.
+// A wrapped callback must not run after its guard was destroyed, as it would access freed memory.
 
 #include "net/callback_guard.h"
 
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -1,4 +1,5 @@
-// The committer against the fake key-value store: unanswered, refused, late and fenced writes.
+// The committer makes every record durable, and no late or fenced request changes one, when
+// requests to the key-value store are lost, refused or delayed.
 
 #include "state/committer.h"
 
@@ -26,7 +27,7 @@
  protected:
   CommitterTest() : fake_store_(&loop_), settings_(testing::MakeSettings()) {
     settings_.state.port = fake_store_.port();
-    settings_.heartbeat_interval_s = 0.4;  // timeouts and retries are ratios to it
+    settings_.heartbeat_interval_s = 0.4;  // timeouts and retry delays are derived from it
     client_ = std::make_unique<StoreClient>(&loop_, settings_);
     fake_store_.CompareAndSwap(
         {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "us"}}}}});
@@ -41,20 +42,22 @@
         std::make_unique<Committer>(&loop_, client_.get(), settings_, locked_cluster_.get(),
                                     wire::VersionPrecondition{election::kLeaderKey, fence},
                                     std::unordered_map<std::string, uint64_t>(),
-                                    Committer::Hooks{[] {}, [this] { fenced_ = true; }});
+                                    Committer::Hooks{[] {}, [this] { is_fenced_ = true; }});
+  }
+  // Runs the loop until `is_done` returns true. Returns false after a time limit.
+  bool RunLoopUntil(const std::function<bool()>& is_done) {
+    return fault_injection::RunUntil(&loop_, is_done);
   }
-  // Runs the loop until `done` or a time limit.
-  bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
   void Submit(const std::string& id) {
     ASSERT_EQ(cluster_->Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow()).outcome,
               core::SubmitOutcome::kAccepted);
     committer_->Flush();
   }
-  bool Durable(const std::string& id) { return cluster_->View(id)->stored; }
-  // Of the jobs req-0 to req-(count - 1), but for req-`except`.
-  bool AllDurable(int count, int except = -1) {
+  bool IsDurable(const std::string& id) { return cluster_->View(id)->stored; }
+  // Returns whether the jobs req-0 to req-(count - 1) are durable, not counting req-`excluded`.
+  bool AreAllDurable(int count, int excluded = -1) {
     for (int i = 0; i < count; ++i) {
-      if (i != except && !Durable("req-" + std::to_string(i))) return false;
+      if (i != excluded && !IsDurable("req-" + std::to_string(i))) return false;
     }
     return true;
   }
@@ -64,63 +67,70 @@
   config::Settings settings_;
   std::unique_ptr<StoreClient> client_;
   std::unique_ptr<core::LockedCluster> locked_cluster_;
-  core::Cluster* cluster_ = nullptr;  // in locked_cluster_; the test has one thread
+  // Owned by locked_cluster_. Used without the lock, as the tests have one thread.
+  core::Cluster* cluster_ = nullptr;
   std::unique_ptr<Committer> committer_;
-  bool fenced_ = false;
+  bool is_fenced_ = false;
 };
 
-TEST_F(CommitterTest, ReadsBackWhenACompareAndSwapGetsNoAnswer) {
-  int lost = 0;
+// A write that was executed but got no response must become durable, and its retry must not be
+// taken for a conflict with another leader.
+TEST_F(CommitterTest, ReadsBackWhenACompareAndSwapGetsNoResponse) {
+  int requests = 0;
   fake_store_.InjectFaults([&](const Json&) {
-    return lost++ < 1 ? FakeStore::InjectedFault::kExecutedUnanswered
-                      : FakeStore::InjectedFault::kNormal;
+    return requests++ < 1 ? FakeStore::InjectedFault::kExecutedUnanswered
+                          : FakeStore::InjectedFault::kNormal;
   });
   Submit("req-000001");
-  EXPECT_FALSE(Durable("req-000001"));
-  ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
-  EXPECT_FALSE(fenced_);
-  // Later writes go on from the version that was read back.
+  EXPECT_FALSE(IsDurable("req-000001"));
+  ASSERT_TRUE(RunLoopUntil([&] { return IsDurable("req-000001"); }));
+  EXPECT_FALSE(is_fenced_);
+  // The next write of the key uses the version that was read back.
   cluster_->Cancel("req-000001");
   committer_->Flush();
-  ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
+  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->View("req-000001")->final; }));
 }
 
+// A record must not be reported as durable before a retry has succeeded.
 TEST_F(CommitterTest, RetriesAndReportsNothingDurableWhenTheStoreRefuses) {
-  int refused = 0;
+  int requests = 0;
   fake_store_.InjectFaults([&](const Json&) {
-    return refused++ < 3 ? FakeStore::InjectedFault::kRefused : FakeStore::InjectedFault::kNormal;
+    return requests++ < 3 ? FakeStore::InjectedFault::kRefused : FakeStore::InjectedFault::kNormal;
   });
   Submit("req-000001");
-  ASSERT_TRUE(Until([&] { return refused >= 3; }));
-  EXPECT_FALSE(Durable("req-000001"));
-  ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
+  ASSERT_TRUE(RunLoopUntil([&] { return requests >= 3; }));
+  EXPECT_FALSE(IsDurable("req-000001"));
+  ASSERT_TRUE(RunLoopUntil([&] { return IsDurable("req-000001"); }));
 }
 
-// Guards against a repeated old write undoing a newer one: the fence alone would let it through.
-TEST_F(CommitterTest, NothingChangesWhenALateCopyOfItsOwnRequestArrives) {
-  std::vector<Json> seen;
+// A late copy of an older request of the same term must not overwrite a newer value. The fencing
+// version does not prevent that.
+TEST_F(CommitterTest, LateCopiesOfItsOwnRequestsChangeNothing) {
+  std::vector<Json> sent_requests;
   fake_store_.InjectFaults([&](const Json& request) {
-    seen.push_back(request);
+    sent_requests.push_back(request);
     return FakeStore::InjectedFault::kNormal;
   });
   Submit("req-000001");
-  ASSERT_TRUE(Until([&] { return Durable("req-000001"); }));
+  ASSERT_TRUE(RunLoopUntil([&] { return IsDurable("req-000001"); }));
   cluster_->Cancel("req-000001");
   committer_->Flush();
-  ASSERT_TRUE(Until([&] { return cluster_->View("req-000001")->final; }));
-  for (const Json& request : seen) EXPECT_EQ(fake_store_.CompareAndSwap(request).status, 409);
+  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->View("req-000001")->final; }));
+  for (const Json& request : sent_requests) {
+    EXPECT_EQ(fake_store_.CompareAndSwap(request).status, 409);
+  }
   EXPECT_EQ(fake_store_.entries()["zinclead/job/req-000001"].value["final"], "cancelled");
 }
 
-// "The key does not exist" becomes true again when the key is deleted: a late copy of the request
-// that created it would bring the record of a terminated machine back.
+// Deleting a key makes the precondition "the key does not exist" true again: a late copy of the
+// request that created the key must not create the record of a terminated machine again.
 TEST_F(CommitterTest, DeletedRecordStaysDeletedWhenALateCopyArrives) {
-  std::vector<Json> created;
+  std::vector<Json> sent_requests;
   fake_store_.InjectFaults([&](const Json& request) {
-    created.push_back(request);
-    // The first request gets no answer, and is still in flight.
-    return created.size() == 1 ? FakeStore::InjectedFault::kLost
-                               : FakeStore::InjectedFault::kNormal;
+    sent_requests.push_back(request);
+    // The first request gets no response and is still in flight.
+    return sent_requests.size() == 1 ? FakeStore::InjectedFault::kLost
+                                     : FakeStore::InjectedFault::kNormal;
   });
   wire::Heartbeat heartbeat;
   heartbeat.machine = "i-000001";
@@ -131,78 +141,84 @@
   cluster_->OnHeartbeat(heartbeat, net::SteadyNow());
   committer_->Flush();
   const std::string key = "zinclead/machines/adopted-i-000001";
-  ASSERT_TRUE(Until([&] { return fake_store_.entries().contains(key); }));
-  ASSERT_TRUE(Until([&] { return !cluster_->HasQueuedRecords(); }));
+  ASSERT_TRUE(RunLoopUntil([&] { return fake_store_.entries().contains(key); }));
+  ASSERT_TRUE(RunLoopUntil([&] { return !cluster_->HasQueuedRecords(); }));
   cluster_->OnTerminated({"i-000001"}, true, net::SteadyNow());
   committer_->Flush();
-  ASSERT_TRUE(Until([&] {
+  ASSERT_TRUE(RunLoopUntil([&] {
     return !fake_store_.entries().contains(key) ||
            fake_store_.entries()[key].value == core::EmptiedRecord();
   }));
-  for (const Json& request : created) fake_store_.CompareAndSwap(request);
+  for (const Json& request : sent_requests) fake_store_.CompareAndSwap(request);
   EXPECT_FALSE(fake_store_.entries().contains(key) &&
                fake_store_.entries()[key].value != core::EmptiedRecord());
   // The next leader deletes the emptied record.
-  core::Cluster next(settings_, config::OperatorSettings(), 2, net::SteadyNow(), net::WallNow(), 1);
-  for (const auto& [stored, entry] : fake_store_.entries()) next.LoadRecord(stored, entry.value);
-  next.FinishLoading(net::SteadyNow());
-  EXPECT_TRUE(next.machines().empty());
-  const auto queued = next.DequeueRecords(8);
+  core::Cluster next_leader(settings_, config::OperatorSettings(), 2, net::SteadyNow(),
+                            net::WallNow(), 1);
+  for (const auto& [stored_key, entry] : fake_store_.entries()) {
+    next_leader.LoadRecord(stored_key, entry.value);
+  }
+  next_leader.FinishLoading(net::SteadyNow());
+  EXPECT_TRUE(next_leader.machines().empty());
+  const auto queued = next_leader.DequeueRecords(8);
   ASSERT_EQ(queued.size(), 1U);
   EXPECT_EQ(queued[0], key);
-  EXPECT_FALSE(next.Serialize(key).has_value());
+  EXPECT_FALSE(next_leader.Serialize(key).has_value());
 }
 
-// The store's limits may be lowered without notice: nothing stalls, and a record that is refused by
-// itself does not hold up the others.
+// The store may lower its limits without notice: a batch or record that it rejects must not block
+// the other records.
 TEST_F(CommitterTest, WritesAllOtherRecordsWhenTheStoreLowersItsLimits) {
   constexpr size_t kMaxWrites = 2;
   fake_store_.InjectFaults([&](const Json& request) {
-    const bool malformed =
+    const bool is_malformed =
         request["writes"].size() > kMaxWrites ||
         std::any_of(request["writes"].begin(), request["writes"].end(), [](const Json& write) {
           return write.value("put", "") == "zinclead/job/req-7";
         });
-    return malformed ? FakeStore::InjectedFault::kMalformed : FakeStore::InjectedFault::kNormal;
+    return is_malformed ? FakeStore::InjectedFault::kMalformed : FakeStore::InjectedFault::kNormal;
   });
   for (int i = 0; i < 20; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] { return AllDurable(20, 7); }));
-  EXPECT_FALSE(Durable("req-7"));
+  ASSERT_TRUE(RunLoopUntil([&] { return AreAllDurable(20, 7); }));
+  EXPECT_FALSE(IsDurable("req-7"));
 }
 
-// Writes beyond a rate limit that was lowered without notice are refused: they are retried with a
-// pause until they are executed, and none is lost.
+// The store may lower its rate limit without notice: refused writes must not be lost, nor retried
+// without a delay.
 TEST_F(CommitterTest, LosesNothingWhenTheStoreLowersItsRateLimit) {
   constexpr int kRecords = 12;
   int requests = 0;
-  int refused = 0;
+  int refused_requests = 0;
   fake_store_.InjectFaults([&](const Json&) {
     if (++requests % 4 == 0) return FakeStore::InjectedFault::kNormal;
-    ++refused;
+    ++refused_requests;
     return FakeStore::InjectedFault::kTooMany;
   });
-  const double started = net::SteadyNow();
+  const double started_at = net::SteadyNow();
   for (int i = 0; i < kRecords; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] { return AllDurable(kRecords); }));
-  EXPECT_GT(refused, 0);
+  ASSERT_TRUE(RunLoopUntil([&] { return AreAllDurable(kRecords); }));
+  EXPECT_GT(refused_requests, 0);
   const double retry_s = settings_.heartbeat_interval_s / 10;
-  EXPECT_LE(refused, (net::SteadyNow() - started) / retry_s + 1) << "repeated without a pause";
+  EXPECT_LE(refused_requests, (net::SteadyNow() - started_at) / retry_s + 1)
+      << "retried without a delay";
 }
 
+// A former leader must not write, and must learn that another leader was elected.
 TEST_F(CommitterTest, IsFencedOffWhenAnotherLeaderIsElected) {
   fake_store_.CompareAndSwap(
       {{"when", Json::array()}, {"writes", {{{"put", election::kLeaderKey}, {"value", "other"}}}}});
   Submit("req-000001");
-  ASSERT_TRUE(Until([&] { return fenced_; }));
-  EXPECT_FALSE(Durable("req-000001"));
+  ASSERT_TRUE(RunLoopUntil([&] { return is_fenced_; }));
+  EXPECT_FALSE(IsDurable("req-000001"));
   EXPECT_FALSE(fake_store_.entries().contains("zinclead/job/req-000001"));
 }
 
+// One request per record would use up the store's rate limit.
 TEST_F(CommitterTest, WritesFewBatchesWhenManyRecordsAreQueued) {
-  const uint64_t before = fake_store_.compare_and_swap_count();
+  const uint64_t count_before = fake_store_.compare_and_swap_count();
   for (int i = 0; i < 40; ++i) Submit("req-" + std::to_string(i));
-  ASSERT_TRUE(Until([&] { return AllDurable(40); }));
-  EXPECT_LT(fake_store_.compare_and_swap_count() - before, 40U / 2);
+  ASSERT_TRUE(RunLoopUntil([&] { return AreAllDurable(40); }));
+  EXPECT_LT(fake_store_.compare_and_swap_count() - count_before, 40U / 2);
 }
 
 }  // namespace
