--- a/src/service/cloud_poller.cc
+++ b/src/service/cloud_poller.cc
@@ -14,7 +14,7 @@
 
 using core::Cluster;
 
-// Until the machine types have been received.
+// Applies until the machine types have been received.
 constexpr double kTypesPollsPerHeartbeatInterval = 3;
 
 Cluster::ScaleOutOutcome ToOutcome(cloud::ScaleOutResult result) {
--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -64,7 +64,8 @@
   }
 }
 
-// A new submission cannot be made durable now, so only the end of an earlier one is reported.
+// Without a valid lease no submission can be made durable, so this only reports the end of a job
+// that was submitted before.
 void JobRequests::SubmitWithoutLease(const std::string& job_id, const Reply& reply) {
   const std::optional<JobView> view = GetJobView(job_id);
   if (view && view->final) return reply(JobStatus(job_id, view->phase));
--- a/src/service/responses.h
+++ b/src/service/responses.h
@@ -22,7 +22,7 @@
 [[nodiscard]] net::Response MethodNotAllowed();
 // 429: refused by admission; the client may retry after `retry_after_s`.
 [[nodiscard]] net::Response TooManyRequests(int retry_after_s, const char* reason);
-// 503: temporarily not possible for `reason`; the client may retry after a second.
+// 503: temporarily refused for `reason`; the client may retry after a second.
 [[nodiscard]] net::Response ServiceUnavailable(const char* reason);
 
 }  // namespace zinclead::service
--- a/tests/elector_test.cc
+++ b/tests/elector_test.cc
@@ -343,6 +343,8 @@
   std::array<std::unique_ptr<Node>, 3> nodes_;
 };
 
+// Guards against two leaders in one term after a crash during an election, or when the transaction
+// of a crashed process is executed late.
 TEST(Elector, AtMostOneLeaderPerTermDespiteCrashesAndDelayedCommits) {
   const char* const configured = std::getenv("ZINCLEAD_HISTORIES");
   const uint64_t histories = configured == nullptr ? 200 : std::strtoul(configured, nullptr, 10);
--- a/tests/user_request_test.cc
+++ b/tests/user_request_test.cc
@@ -48,6 +48,7 @@
   EXPECT_EQ(StatusOf(Parse("GET", "/")), 404);
 }
 
+// Guards against a 400 for a repeated submission whose job was accepted before.
 TEST(UserRequest, InvalidSubmissionsKeepTheirJobId) {
   const wire::JobSpec spec = testing::MakeJob("req-000001");
   const std::string body = wire::ToJson(spec).dump();
--- a/tests/worker_redirects_test.cc
+++ b/tests/worker_redirects_test.cc
@@ -12,6 +12,7 @@
 using Decision = WorkerRedirects::Decision;
 constexpr double kLeaseS = 10;
 
+// Guards against a worker that cannot reach the leader and is redirected to it again and again.
 TEST(WorkerRedirects, AWorkerThatReturnsWithinALeaseIsForwarded) {
   WorkerRedirects redirects(kLeaseS);
   EXPECT_EQ(redirects.OnHeartbeat("i-1", 0), Decision::kRedirect);
@@ -23,6 +24,7 @@
       << "no heartbeat for a whole lease";
 }
 
+// Guards against unbounded memory use.
 TEST(WorkerRedirects, DropsAllEntriesBeyondTheLimit) {
   WorkerRedirects redirects(kLeaseS);
   for (int i = 0; i <= 10'000; ++i) {
