--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -18,8 +18,8 @@
 // before the client gives up.
 constexpr double kMaxWaitShareOfClientTimeout = 0.6;
 
-constexpr char kStoreUnreachable[] = "the state service does not respond";
-constexpr char kRecordNotStored[] = "the record of the job is not stored yet";
+constexpr char kStoreUnreachable[] = "the state service does not answer";
+constexpr char kRecordNotStored[] = "the submission is being recorded";
 
 net::Response JobStatus(const std::string& job_id, wire::JobPhase phase) {
   return {200, 0, wire::JobStatusBody(job_id, phase)};
@@ -58,7 +58,7 @@
     case SubmitOutcome::kUnprocessable:
       return reply({422, 0, wire::ErrorBody(result.reason)});
     case SubmitOutcome::kBusy:
-      return reply(TooManyRequests(result.retry_after_s, "too many active jobs; retry later"));
+      return reply(TooManyRequests(result.retry_after_s, "too many active jobs, come back later"));
     case SubmitOutcome::kUndecided:
       return reply(ServiceUnavailable("the machine types are not known yet"));
   }
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -146,14 +146,14 @@
 }
 
 void Leader::OnUserRequest(const UserRequest& request, const Reply& reply) {
-  if (!is_loaded()) return reply(ServiceUnavailable("the leader is still loading its records"));
+  if (!is_loaded()) return reply(ServiceUnavailable("the leader is loading its records"));
   job_requests_.Handle(request, reply);
 }
 
 net::Response Leader::OnHeartbeat(const wire::Heartbeat& heartbeat) {
   const double now = net::SteadyNow();
   if (!MayRenewWorkerLeases(now)) {
-    return ServiceUnavailable("the leader cannot renew worker leases now");
+    return ServiceUnavailable("not entitled to answer workers now");
   }
   // Most requests are heartbeats, so the lock is taken only once for each.
   core::Cluster::HeartbeatResult result;
@@ -164,7 +164,7 @@
   });
   StartPendingWork(work);
   if (result.reject) {
-    return ServiceUnavailable("the heartbeat is stale, or its machine is terminated");
+    return ServiceUnavailable("a late report");
   }
   return {200, 0, wire::CommandsBody(term_, result.commands)};
 }
--- a/src/service/leader_forwarder.cc
+++ b/src/service/leader_forwarder.cc
@@ -35,11 +35,11 @@
 }
 
 void LeaderForwarder::OnResponse(const net::Response& response, const Reply& reply) {
-  if (response.status != 200) return reply(ServiceUnavailable("the leader does not respond"));
+  if (response.status != 200) return reply(ServiceUnavailable("the leader does not answer"));
   const auto forwarded_response = wire::ParseForwardedResponse(response.body);
   if (!forwarded_response) {
     spdlog::error("malformed answer of a peer");
-    return reply(ServiceUnavailable("the leader's response is malformed"));
+    return reply(ServiceUnavailable("the leader's answer is malformed"));
   }
   elector_->OnTermSeen(forwarded_response->term);
   reply({forwarded_response->status, forwarded_response->retry_after_s, forwarded_response->body});
@@ -49,7 +49,7 @@
                                         const Reply& reply) {
   const auto verdict = credit_gate_.Decide(request, net::SteadyNow());
   if (!verdict.forward) {
-    return reply(TooManyRequests(verdict.retry_after_s, "too many submissions; retry later"));
+    return reply(TooManyRequests(verdict.retry_after_s, "more is asked than can be taken"));
   }
   Forward({"POST", std::string(wire::kJobsPath), body}, wire::kSubmitTimeoutS,
           [this, job_id = request.id, reply](net::Response response) {
--- a/src/service/pending_requests.cc
+++ b/src/service/pending_requests.cc
@@ -37,7 +37,7 @@
   if (it->second.empty()) requests_.erase(it);
   for (const Request& request : completed) {
     if (!has_valid_lease && !view.final) {
-      request.reply(ServiceUnavailable("the leader's lease has expired"));
+      request.reply(ServiceUnavailable("the leader's lease has lapsed"));
       continue;
     }
     const int status = request.kind == Kind::kSubmission ? 201 : 200;
@@ -54,7 +54,7 @@
     it = it->second.empty() ? requests_.erase(it) : std::next(it);
   }
   for (const Request& request : expired) {
-    request.reply(ServiceUnavailable("the state service does not respond"));
+    request.reply(ServiceUnavailable("the state service does not answer"));
   }
 }
 
--- a/src/service/request_router.cc
+++ b/src/service/request_router.cc
@@ -36,14 +36,14 @@
 net::Response RequestRouter::OnHealthCheck(const std::string& method) {
   if (method != "GET") return MethodNotAllowed();
   if (!IsHealthy(dependencies_.get_health())) {
-    return ServiceUnavailable("this node cannot serve requests now");
+    return ServiceUnavailable("this node can't serve now");
   }
   return {200, 0, "{}"};
 }
 
 net::Response RequestRouter::OnLeaderAnnouncement(const std::string& body) {
   const auto announcement = wire::ParseLeaderAnnouncement(body);
-  if (!announcement) return BadRequest("malformed leader announcement");
+  if (!announcement) return BadRequest("malformed notice");
   dependencies_.elector->OnLeaderAnnouncement(announcement->node, announcement->term);
   if (!announcement->node.empty()) dependencies_.forwarder->OnLeaderAnnouncement(*announcement);
   return {200, 0, ToJson(dependencies_.announcer->MakeAnnouncement()).dump()};
@@ -52,7 +52,7 @@
 void RequestRouter::OnForwardedRequest(const std::string& body,
                                        const net::ResponderPtr& responder) {
   auto forwarded = wire::ParseForwardedRequest(body);
-  if (!forwarded) return responder->Send(BadRequest("malformed forwarded request"));
+  if (!forwarded) return responder->Send(BadRequest("malformed call"));
   dependencies_.elector->OnTermSeen(forwarded->term);
   const Reply reply = [elector = dependencies_.elector, responder](const net::Response& response) {
     const wire::ForwardedResponse forwarded_response{response.status, response.retry_after_s,
@@ -127,7 +127,7 @@
   if (!dependencies_.peers->Has(leader_name)) return reply(ServiceUnavailable("no leader"));
   // An isolated node does not learn of a new leader, so it must not redirect workers to an old one.
   if (IsIsolated(dependencies_.get_health())) {
-    return reply(ServiceUnavailable("this node is isolated from its peers and the state service"));
+    return reply(ServiceUnavailable("this node is cut off"));
   }
   const auto decision = worker_redirects_.OnHeartbeat(machine, net::SteadyNow());
   if (decision == WorkerRedirects::Decision::kForward) {
--- a/src/service/user_request.cc
+++ b/src/service/user_request.cc
@@ -13,7 +13,7 @@
 ParsedRequest ParseSubmission(const std::string& body, size_t max_spec_bytes) {
   auto spec = wire::ParseSubmission(body);
   if (spec && wire::ToJson(*spec).dump().size() > max_spec_bytes) {
-    spec = wire::ParseFailure("", "the text fields are too long in total");
+    spec = wire::ParseFailure("", "the texts in it are too long");
   }
   if (spec) return UserRequest(Submission{*std::move(spec)});
   std::string error = spec.error().ToString();
--- a/tests/pending_requests_test.cc
+++ b/tests/pending_requests_test.cc
@@ -58,7 +58,7 @@
   requests_.Complete("req-1", MakeView(true, false), false);
   requests_.Complete("req-2", MakeView(true, true), false);
   EXPECT_EQ(statuses_, (std::vector<int>{503, 200}));
-  EXPECT_EQ(bodies_[0], wire::ErrorBody("the leader's lease has expired"));
+  EXPECT_EQ(bodies_[0], wire::ErrorBody("the leader's lease has lapsed"));
 }
 
 TEST_F(PendingRequestsTest, RequestsExpireAtTheirDeadline) {
@@ -68,7 +68,7 @@
   EXPECT_TRUE(statuses_.empty());
   requests_.Expire(10);
   EXPECT_EQ(bodies_,
-            std::vector<std::string>{wire::ErrorBody("the state service does not respond")});
+            std::vector<std::string>{wire::ErrorBody("the state service does not answer")});
   requests_.Expire(11);
   EXPECT_EQ(statuses_, (std::vector<int>{503, 503}));
   EXPECT_FALSE(requests_.Has("req-1"));
--- a/tests/user_request_test.cc
+++ b/tests/user_request_test.cc
@@ -58,7 +58,7 @@
   const auto too_large = Get<MalformedSubmission>(Parse("POST", kJobs, body, body.size() / 2));
   ASSERT_TRUE(too_large);
   EXPECT_EQ(too_large->job_id, spec.id);
-  EXPECT_EQ(too_large->error, "the text fields are too long in total");
+  EXPECT_EQ(too_large->error, "the texts in it are too long");
   EXPECT_EQ(StatusOf(Parse("POST", kJobs, "{}")), 400) << "names no job";
   EXPECT_EQ(StatusOf(Parse("POST", kJobs, "not json")), 400);
 }
