--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -93,8 +93,8 @@
     return heartbeats_.OnHeartbeat(heartbeat, now, lease_expired);
   }
 
-  // Every other controller has seen this term, so none can renew workers' leases for an earlier
-  // one.
+  // To be called when every other controller has seen this term, so that none can renew workers'
+  // leases for an earlier term.
   void OnEarlierLeadersEnded(double now) { reconciler_.OnEarlierLeadersEnded(now); }
 
   // ---- cloud: see MachineRegistry ----
--- a/src/core/durable_state.h
+++ b/src/core/durable_state.h
@@ -37,7 +37,7 @@
   // Returns the value to store for the key, or nullopt if the key is to be deleted. Which changes
   // the value contains is kept in the record queue until OnStored or RecordQueue::Requeue.
   std::optional<wire::Json> Serialize(const std::string& key);
-  // The value that Serialize returned last for the key has become durable.
+  // To be called when the value last returned by Serialize for the key has become durable.
   void OnStored(const std::string& key, double now);
 
  private:
--- a/src/core/failover_reconciler.h
+++ b/src/core/failover_reconciler.h
@@ -20,7 +20,7 @@
   // finished jobs that waited for this. To be called when a machine acknowledges the term, expires
   // or is removed.
   void CheckReconciled();
-  // From `now` on no earlier leader can renew workers' leases.
+  // To be called when no earlier leader can renew workers' leases after `now`.
   void OnEarlierLeadersEnded(double now);
 
  private:
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -23,8 +23,8 @@
 // are blamed.
 inline constexpr size_t kFaultyJobThreshold = 3;
 
-// kActive: an attempt of the task counts as the current one. kDoneUnstored: completed, but the
-// completion is not durable yet.
+// kActive: the task has an active attempt. kDoneUnstored: completed, but the completion is not
+// durable yet, so a new leader would have to learn of it from a heartbeat.
 enum class TaskState : uint8_t { kPending, kActive, kDoneUnstored, kDone };
 // How a job has ended.
 enum class FinalState : uint8_t { kNone, kDone, kCancelled };
