--- a/src/admission/active_jobs.h
+++ b/src/admission/active_jobs.h
@@ -1,4 +1,4 @@
-// Counts active jobs by team, and decides whether their limit leaves capacity for one more.
+// Counts the active jobs of each team and enforces the limit on their number.
 #ifndef ZINCLEAD_ADMISSION_ACTIVE_JOBS_H_
 #define ZINCLEAD_ADMISSION_ACTIVE_JOBS_H_
 
@@ -8,20 +8,23 @@
 
 namespace zinclead::admission {
 
-// Half of the limit is shared; the other half is guaranteed to the teams in equal parts, so that
-// one team can't lock the others out.
+// Guarantees half of the limit to the teams in equal parts and shares the other half among them.
+// This prevents one team from using the whole limit. Not thread-safe.
 class ActiveJobs {
  public:
   ActiveJobs(size_t max_jobs, size_t teams);
 
-  // Count a job in and out. Add does not check the limit: jobs of an earlier term may exceed it.
+  // Adds an active job of the team. Does not check the limit: a new leader also adds the jobs that
+  // earlier leaders admitted, and these may exceed it.
   void Add(const std::string& team);
-  // A team without active jobs is ignored.
+  // Removes an active job of the team. Has no effect if the team has no active job.
   void Remove(const std::string& team);
 
-  // Whether the team may have one more active job.
+  // Returns whether the limit allows the team one more active job.
   [[nodiscard]] bool HasCapacity(const std::string& team) const;
+  // Number of active jobs of all teams.
   [[nodiscard]] size_t total() const { return total_; }
+  // Number of active jobs of the team.
   [[nodiscard]] size_t CountOf(const std::string& team) const;
 
  private:
@@ -29,7 +32,7 @@
   const size_t guaranteed_per_team_;
   const size_t max_shared_;
   size_t total_ = 0;
-  size_t shared_ = 0;  // active jobs beyond what is guaranteed to their teams
+  size_t shared_ = 0;  // active jobs that exceed their team's guarantee
   std::map<std::string, size_t> by_team_;
 };
 
--- a/src/admission/admission_policy.cc
+++ b/src/admission/admission_policy.cc
@@ -13,7 +13,7 @@
       filled_at_(now) {}
 
 Decision AdmissionPolicy::Decide(const Request& request, double now) {
-  if (!limits_.fair) {
+  if (!limits_.is_fair_admission_on) {
     if (!active_.HasCapacity(request.team)) return RefuseWithoutReservation();
     return Admit(request);
   }
@@ -30,14 +30,14 @@
 
 void AdmissionPolicy::OnStored(const std::string& id, double now) {
   if (unstored_.erase(id) == 0) return;
-  if (!limits_.fair) return;
+  if (!limits_.is_fair_admission_on) return;
   recently_accepted_.emplace(now, id);
   EraseOldAccepted(now);
 }
 
 void AdmissionPolicy::AddAccepted(const std::string& id, double accepted_at, double now) {
   const bool may_be_repeated = accepted_at + kUserRetryLimitS >= now;
-  if (limits_.fair && may_be_repeated) recently_accepted_.emplace(accepted_at, id);
+  if (limits_.is_fair_admission_on && may_be_repeated) recently_accepted_.emplace(accepted_at, id);
 }
 
 void AdmissionPolicy::EraseOldAccepted(double now) {
@@ -53,9 +53,10 @@
 
 wire::CreditGrant AdmissionPolicy::MakeGrant(double now) {
   wire::CreditGrant grant;
-  if (!limits_.fair) return grant;
+  if (!limits_.is_fair_admission_on) return grant;
   Advance(now);
-  if (reservations_.empty()) return grant;  // every submission would be admitted
+  // Without any reservation, the leader admits every submission.
+  if (reservations_.empty()) return grant;
   EraseOldAccepted(now);
   grant.limited = true;
   grant.by_tier = CreditsByTier();
@@ -64,8 +65,9 @@
   return grant;
 }
 
-// Each follower may use all that is free: the leader decides in the end, and a team that sends
-// little must not be shut out because its few submissions reach the same follower.
+// Every follower gets the whole free capacity, because the leader decides on each forwarded
+// submission. If the followers divided the capacity, a team whose few submissions reach one
+// follower would be refused while the others have credits to spare.
 std::vector<wire::CreditsByTeam> AdmissionPolicy::CreditsByTier() const {
   std::vector<wire::CreditsByTeam> credits(kTiers);
   for (size_t tier = 0; tier < kTiers; ++tier) {
@@ -84,15 +86,16 @@
 
 BloomFilter AdmissionPolicy::AcceptedFilter() const {
   BloomFilter filter(recently_accepted_.size() + unstored_.size());
-  for (const auto& [at, id] : recently_accepted_) filter.Add(id);
+  for (const auto& [accepted_at, id] : recently_accepted_) filter.Add(id);
   for (const std::string& id : unstored_) filter.Add(id);
   return filter;
 }
 
 uint64_t AdmissionPolicy::FreeReservations(const std::string& team, size_t tier) const {
-  const double held = queues_[tier].CostOf(team);
-  const double free = std::max(0.0, limits_.ReservationCost(team, tier) - held) / kRecordsPerJob;
-  return std::max<uint64_t>(static_cast<uint64_t>(free), held == 0 ? 1 : 0);
+  const double held_cost = queues_[tier].CostOf(team);
+  const double free =
+      std::max(0.0, limits_.MaxReservationCost(team, tier) - held_cost) / kRecordsPerJob;
+  return std::max<uint64_t>(static_cast<uint64_t>(free), held_cost == 0 ? 1 : 0);
 }
 
 void AdmissionPolicy::Advance(double now) {
@@ -120,7 +123,7 @@
     const std::string id = expiring_.begin()->second;
     const Reservation& reservation = *reservations_.at(id);
     ++counters_.reservations_expired;
-    // Its tokens were not used: they serve the next ones.
+    // The tokens that the expired grant took were not used; return them to the common bucket.
     if (reservation.granted) common_tokens_ += reservation.cost;
     RemoveReservation(id);
   }
@@ -140,8 +143,8 @@
   }
 }
 
-// A cost above the burst is taken once the bucket is full, and leaves a debt: otherwise a large job
-// could never be admitted.
+// A job whose cost exceeds the bucket's size is admitted when the bucket is full, which makes the
+// bucket negative. Otherwise such a job could never be admitted.
 bool AdmissionPolicy::TakeTokens(size_t tier, double cost) {
   const double needed = std::min(cost, limits_.tier_burst[tier]);
   const double common = std::max(0.0, common_tokens_);
@@ -152,10 +155,11 @@
   return true;
 }
 
-// A team may hold reservations up to its share of the cost, and a single one of any cost.
+// A team may hold reservations up to its limit, or a single reservation of any cost.
 bool AdmissionPolicy::QueueHasCapacity(const Request& request) const {
-  const double held = queues_[request.tier].CostOf(request.team);
-  return held == 0 || held + request.cost <= limits_.ReservationCost(request.team, request.tier);
+  const double held_cost = queues_[request.tier].CostOf(request.team);
+  return held_cost == 0 ||
+         held_cost + request.cost <= limits_.MaxReservationCost(request.team, request.tier);
 }
 
 Reservation* AdmissionPolicy::FindReservation(const Request& request) {
@@ -189,14 +193,15 @@
   Reservation* reservation = it->second.get();
   expiring_.erase({reservation->expires_at, id});
   if (reservation->granted) {
-    active_.Remove(reservation->team);  // the capacity that was held for it
+    active_.Remove(reservation->team);  // GrantReservations counted the job as active
   } else {
     queues_[reservation->tier].Remove(reservation);
   }
   reservations_.erase(it);
 }
 
-// As long as the same tiers have reservations: the rate of the others goes to the highest of them.
+// The highest tier with queued reservations also gets the rates of the tiers that have none.
+// Assumes that the same tiers continue to have reservations.
 double AdmissionPolicy::ServiceRate(size_t tier) const {
   double rate = limits_.tier_rate[tier];
   for (size_t other = 0; other < kTiers; ++other) {
@@ -210,27 +215,28 @@
   return rate;
 }
 
-// When the reservation will be granted if all teams that have reservations keep some.
+// Estimates the time of the grant, assuming that all teams with queued reservations keep some.
 void AdmissionPolicy::SetRetryTime(Reservation* reservation, double now) {
   const FairQueue& queue = queues_[reservation->tier];
   const double share = limits_.WeightOf(reservation->team) / queue.active_weight();
-  const double served_ahead =
+  const double missing_tokens =
       std::max(0.0, queue.CostThrough(reservation) - tokens_[reservation->tier]);
-  const double wait = served_ahead / (ServiceRate(reservation->tier) * share);
-  const double seconds = std::clamp(std::ceil(wait), 1.0, static_cast<double>(kMaxRetryAfterS));
-  reservation->retry_at = now + seconds;
+  const double wait_s = missing_tokens / (ServiceRate(reservation->tier) * share);
+  const double retry_after_s =
+      std::clamp(std::ceil(wait_s), 1.0, static_cast<double>(kMaxRetryAfterS));
+  reservation->retry_at = now + retry_after_s;
   SetExpiry(reservation, reservation->retry_at + limits_.reservation_window_s);
 }
 
-void AdmissionPolicy::SetExpiry(Reservation* reservation, double at) {
+void AdmissionPolicy::SetExpiry(Reservation* reservation, double expires_at) {
   expiring_.erase({reservation->expires_at, reservation->id});
-  reservation->expires_at = at;
-  expiring_.emplace(at, reservation->id);
+  reservation->expires_at = expires_at;
+  expiring_.emplace(expires_at, reservation->id);
 }
 
 Decision AdmissionPolicy::Admit(const Request& request) {
   active_.Add(request.team);
-  if (limits_.fair) unstored_.insert(request.id);
+  if (limits_.is_fair_admission_on) unstored_.insert(request.id);
   ++counters_.admitted;
   return {true, false, 0};
 }
@@ -243,19 +249,19 @@
 }
 
 Decision AdmissionPolicy::Refuse(Reservation* reservation, double now) {
-  // A user who retries too early keeps the time that was named.
+  // A user who retries too early is given the same retry time again.
   if (reservation->retry_at <= now) SetRetryTime(reservation, now);
   ++counters_.refused_with_reservation;
-  const double wait = std::max(1.0, std::ceil(reservation->retry_at - now));
-  return {false, true, static_cast<int>(wait)};
+  const double wait_s = std::max(1.0, std::ceil(reservation->retry_at - now));
+  return {false, true, static_cast<int>(wait_s)};
 }
 
 Decision AdmissionPolicy::RefuseWithoutReservation() {
   ++counters_.refused_without_reservation;
-  if (!limits_.fair) return {false, false, limits_.busy_retry_s};
-  std::uniform_int_distribution<int> retry(limits_.no_reservation_retry_min_s,
-                                           limits_.no_reservation_retry_max_s);
-  return {false, false, retry(random_)};
+  if (!limits_.is_fair_admission_on) return {false, false, limits_.busy_retry_s};
+  std::uniform_int_distribution<int> retry_after_s(limits_.no_reservation_retry_min_s,
+                                                   limits_.no_reservation_retry_max_s);
+  return {false, false, retry_after_s(random_)};
 }
 
 bool AdmissionPolicy::CountsAgree() const {
--- a/src/admission/bloom_filter.cc
+++ b/src/admission/bloom_filter.cc
@@ -5,14 +5,15 @@
 namespace zinclead::admission {
 namespace {
 
-// Twelve bits an id and four probes: about 1% false positives.
+// 12 bits per id and 4 probes result in about 1% false positives.
 constexpr size_t kBitsPerId = 12;
 constexpr size_t kProbes = 4;
 constexpr size_t kBitsPerByte = 8;
 constexpr size_t kMinBytes = 64;
-constexpr std::string_view kDigits = "0123456789abcdef";
+constexpr std::string_view kHexDigits = "0123456789abcdef";
 
-// FNV-1a: the same on every machine and in every version, unlike std::hash.
+// FNV-1a. std::hash is unsuitable: its values may differ between builds, and controllers exchange
+// filters.
 uint64_t Hash(std::string_view id) {
   constexpr uint64_t kOffset = 14695981039346656037ULL;
   constexpr uint64_t kPrime = 1099511628211ULL;
@@ -21,48 +22,52 @@
     hash ^= static_cast<uint8_t>(c);
     hash *= kPrime;
   }
-  // The low bits of similar ids are mixed further, as the probes are taken from two halves.
+  // Mixes the high bits into the low ones: ForEachBit uses both halves of the hash, and ids differ
+  // only in their last characters.
   hash ^= hash >> 29U;
   return hash * kPrime;
 }
 
+// Calls `visit(byte_index, mask)` for each bit of the filter that represents `id`.
 template <typename Visit>
-void ForEachBit(std::string_view id, size_t bits, const Visit& visit) {
+void ForEachBit(std::string_view id, size_t bit_count, const Visit& visit) {
   const uint64_t hash = Hash(id);
   const uint64_t first = hash & 0xffffffffULL;
   const uint64_t step = (hash >> 32U) | 1U;
   for (size_t probe = 0; probe < kProbes; ++probe) {
-    const size_t bit = (first + probe * step) % bits;
+    const size_t bit = (first + probe * step) % bit_count;
     visit(bit / kBitsPerByte, static_cast<uint8_t>(1U << (bit % kBitsPerByte)));
   }
 }
 
 }  // namespace
 
-BloomFilter::BloomFilter(size_t ids)
-    : bytes_(ids == 0 ? 0 : std::clamp(ids * kBitsPerId / kBitsPerByte, kMinBytes, kMaxBytes)) {}
+BloomFilter::BloomFilter(size_t id_count)
+    : bytes_(id_count == 0
+                 ? 0
+                 : std::clamp(id_count * kBitsPerId / kBitsPerByte, kMinBytes, kMaxBytes)) {}
 
 void BloomFilter::Add(std::string_view id) {
   if (bytes_.empty()) return;
   ForEachBit(id, bytes_.size() * kBitsPerByte,
-             [this](size_t at, uint8_t mask) { bytes_[at] |= mask; });
+             [this](size_t byte_index, uint8_t mask) { bytes_[byte_index] |= mask; });
 }
 
 bool BloomFilter::MayContain(std::string_view id) const {
   if (bytes_.empty()) return false;
-  bool all = true;
-  ForEachBit(id, bytes_.size() * kBitsPerByte, [&](size_t at, uint8_t mask) {
-    if ((bytes_[at] & mask) == 0) all = false;
+  bool has_all_bits = true;
+  ForEachBit(id, bytes_.size() * kBitsPerByte, [&](size_t byte_index, uint8_t mask) {
+    if ((bytes_[byte_index] & mask) == 0) has_all_bits = false;
   });
-  return all;
+  return has_all_bits;
 }
 
 std::string BloomFilter::ToText() const {
   std::string text;
   text.reserve(2 * bytes_.size());
   for (const uint8_t byte : bytes_) {
-    text.push_back(kDigits[byte >> 4U]);
-    text.push_back(kDigits[byte & 15U]);
+    text.push_back(kHexDigits[byte >> 4U]);
+    text.push_back(kHexDigits[byte & 15U]);
   }
   return text;
 }
@@ -72,8 +77,8 @@
   BloomFilter filter;
   filter.bytes_.reserve(text.size() / 2);
   for (size_t i = 0; i < text.size(); i += 2) {
-    const size_t high = kDigits.find(text[i]);
-    const size_t low = kDigits.find(text[i + 1]);
+    const size_t high = kHexDigits.find(text[i]);
+    const size_t low = kHexDigits.find(text[i + 1]);
     if (high == std::string_view::npos || low == std::string_view::npos) return std::nullopt;
     filter.bytes_.push_back(static_cast<uint8_t>(high << 4U | low));
   }
--- a/src/admission/credit_gate.h
+++ b/src/admission/credit_gate.h
@@ -1,5 +1,5 @@
-// A follower's part of admission: which submissions it forwards to the leader, and which it refuses
-// by itself. It never accepts any. Pure: the clock and the seed are passed in.
+// Decides on a follower which submissions it forwards to the leader and which it refuses. Only the
+// leader accepts submissions. Deterministic: the caller passes the clock and the seed.
 #ifndef ZINCLEAD_ADMISSION_CREDIT_GATE_H_
 #define ZINCLEAD_ADMISSION_CREDIT_GATE_H_
 
@@ -20,44 +20,49 @@
 
 namespace zinclead::admission {
 
-// Times are in seconds on the node's clock and never decrease. Not thread-safe.
+// Limits the submissions that a follower forwards by the credits that the leader grants. Times are
+// in seconds on the node's clock and never decrease. Not thread-safe.
 class CreditGate {
  public:
-  // A grant is valid for `grant_life_s` after it was received.
+  // A leader's announcement is valid for `grant_life_s` after the follower receives it.
   CreditGate(const Limits& limits, double grant_life_s, uint64_t seed);
 
-  // The announcement of the leader of `term` was received, with or without a grant. A leader
-  // without one (an older version, or with fair admission off) sets no limit.
+  // Call when the node receives an announcement of the leader of `term`. An announcement without a
+  // grant (from an older version, or with fair admission off) sets no limit.
   void OnLeaderAnnouncement(uint64_t term, const std::optional<wire::CreditGrant>& grant,
                             double now);
 
-  struct Verdict {
+  // Result of Decide.
+  struct ForwardDecision {
     bool forward = false;
-    int retry_after_s = 0;  // of a refusal
+    int retry_after_s = 0;  // 0 if the submission is forwarded
   };
-  // Whether the submission may be forwarded. Uses up credit if so.
-  [[nodiscard]] Verdict Decide(const Request& request, double now);
+  // Decides whether to forward the submission. A submission of a new job that is forwarded uses one
+  // credit of its team and tier.
+  [[nodiscard]] ForwardDecision Decide(const Request& request, double now);
 
-  // The leader refused the forwarded submission until `retry_after_s` from now.
+  // Call when the leader has refused a forwarded submission. Until `retry_after_s` has passed, this
+  // node refuses the id itself.
   void OnRefused(const std::string& id, int retry_after_s, double now);
 
-  // Retry-After of a submission while no leader answers: random, so that the users do not all retry
-  // in the second in which a new leader starts.
+  // Retry-After of a submission while the leader is unreachable. Random, which prevents all users
+  // from retrying in the second in which a new leader starts.
   [[nodiscard]] int RandomRetryWithoutLeader();
 
-  // Counts since the process began.
+  // Numbers of submissions since the process started.
   [[nodiscard]] uint64_t refused() const { return refused_; }
   [[nodiscard]] uint64_t forwarded() const { return forwarded_; }
 
  private:
-  // Takes the grant over. Returns false and changes nothing if it is malformed.
-  bool ReadGrant(const wire::CreditGrant& grant);
+  // Replaces the credits and filters by those of `grant`. Returns false and changes nothing if the
+  // grant is malformed.
+  bool ApplyGrant(const wire::CreditGrant& grant);
   bool HasValidAnnouncement(double now) const;
-  Verdict Forward();
-  Verdict Refuse(int retry_after_s);
-  Verdict DecideWithoutGrant(const std::string& team, double now);
+  ForwardDecision Forward();
+  ForwardDecision Refuse(int retry_after_s);
+  ForwardDecision DecideWithoutGrant(const std::string& team, double now);
   int RandomRetryAfter();
-  void EraseEndedRefusals(double now);
+  void EraseExpiredRefusals(double now);
 
   const Limits limits_;
   const double grant_life_s_;
@@ -65,19 +70,21 @@
   uint64_t term_ = 0;
   double last_announcement_at_ = 0;
   bool has_leader_ = false;
-  bool unlimited_ = false;
+  bool is_unlimited_ = false;
   std::vector<wire::CreditsByTeam> credits_;  // by tier
   BloomFilter reservations_;
   BloomFilter accepted_;
-  // Token buckets in submissions, by team; all unknown teams share the one named "".
+  // A token bucket in submissions, used without a valid grant.
   struct FallbackBucket {
     double tokens = 1;
     double filled_at = 0;
   };
+  // By team; all unknown teams share the bucket with the key "".
   std::map<std::string, FallbackBucket> fallback_buckets_;
-  // Ids that the leader refused through this node and until when, by id and by time.
+  // Submissions that this node forwarded and the leader refused: retry times by id, and (retry
+  // time, id) in the order of time.
   std::unordered_map<std::string, double> refused_until_;
-  std::set<std::pair<double, std::string>> refusals_by_end_;
+  std::set<std::pair<double, std::string>> refusals_by_expiry_;
   uint64_t refused_ = 0;
   uint64_t forwarded_ = 0;
 };
--- a/src/admission/fair_queue.cc
+++ b/src/admission/fair_queue.cc
@@ -21,19 +21,19 @@
   const auto it = teams_.find(reservation->team);
   if (it == teams_.end()) return;
   Team& team = it->second;
-  const auto place = std::find(team.reservations.begin(), team.reservations.end(), reservation);
-  if (place == team.reservations.end()) return;
-  team.reservations.erase(place);
+  const auto position = std::find(team.reservations.begin(), team.reservations.end(), reservation);
+  if (position == team.reservations.end()) return;
+  team.reservations.erase(position);
   team.cost -= reservation->cost;
   --size_;
   if (team.reservations.empty()) EraseTeam(reservation->team);
 }
 
 Reservation* FairQueue::Next(const std::function<bool(const std::string& team)>& may_serve) {
-  const bool any = std::any_of(teams_.begin(), teams_.end(),
-                               [&](const auto& entry) { return may_serve(entry.first); });
-  if (!any) return nullptr;
-  // Terminates: each round adds to the deficit of at least one team that may be served.
+  const bool has_eligible_team = std::any_of(
+      teams_.begin(), teams_.end(), [&](const auto& entry) { return may_serve(entry.first); });
+  if (!has_eligible_team) return nullptr;
+  // Terminates, because each round increases the deficit of at least one team that may be served.
   while (true) {
     const std::string& name = round_.front();
     Team& team = teams_.at(name);
@@ -58,7 +58,7 @@
   team.deficit -= served->cost;
   team.cost -= served->cost;
   --size_;
-  // A team whose queue is empty keeps no deficit: it can't save up service.
+  // Erasing the team resets its deficit, so that idle teams can't accumulate service.
   if (team.reservations.empty()) EraseTeam(name);
 }
 
@@ -88,7 +88,7 @@
   active_weight_ -= it->second.weight;
   teams_.erase(it);
   round_.remove(name);
-  if (teams_.empty()) active_weight_ = 0;  // rounding errors do not accumulate
+  if (teams_.empty()) active_weight_ = 0;  // prevents rounding errors from accumulating
 }
 
 }  // namespace zinclead::admission
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -1,4 +1,4 @@
-// The reservations of one tier, served by deficit round robin among the teams (Shreedhar and
+// Queues the reservations of one tier and serves the teams by deficit round robin (Shreedhar and
 // Varghese, 1996).
 #ifndef ZINCLEAD_ADMISSION_FAIR_QUEUE_H_
 #define ZINCLEAD_ADMISSION_FAIR_QUEUE_H_
@@ -11,10 +11,10 @@
 
 namespace zinclead::admission {
 
-// The quantum of a team of weight 1: the cost that it may be served in each round.
+// Cost that a team of weight 1 may be served in each round.
 inline constexpr double kQuantumPerWeight = 1;
 
-// A refused job's place in its team's queue. Owned by AdmissionPolicy. Times are in seconds on the
+// A refused job that will be admitted later. Owned by AdmissionPolicy. Times are in seconds on the
 // leader's clock.
 struct Reservation {
   std::string id;
@@ -22,34 +22,36 @@
   size_t tier = 0;
   double cost = 0;  // in record writes
   double first_refused_at = 0;
-  double retry_at = 0;    // when its user was told to retry
-  bool granted = false;   // the next submission of the id is admitted
-  double expires_at = 0;  // it is removed then
+  double retry_at = 0;    // when the user should retry, according to the last Retry-After
+  bool granted = false;   // the next submission of the job is admitted
+  double expires_at = 0;  // when the reservation is removed if the user does not retry
 };
 
-// One queue per team, first in, first out. Keeps pointers to the reservations, which must outlive
-// their stay.
+// One FIFO queue per team. Keeps pointers to the reservations: a queued reservation must outlive
+// the FairQueue or be removed first. Not thread-safe.
 class FairQueue {
  public:
-  // Appends to the team's queue. `weight` counts when the team's queue was empty.
+  // Appends the reservation to its team's queue. The team's weight becomes `weight` if that queue
+  // is empty.
   void Push(Reservation* reservation, double weight);
-  // Removes a reservation that was not served; one that is not queued is ignored.
+  // Removes the reservation. Has no effect if the reservation is not queued.
   void Remove(const Reservation* reservation);
-  // The next reservation to serve, or null if no team with a queue is accepted by `may_serve`.
-  // Repeated calls return the same one while nothing else changes.
+  // Returns the next reservation to serve, or null if `may_serve` returns false for every team with
+  // a queue. Repeated calls return the same reservation until the queue or `may_serve` changes.
   [[nodiscard]] Reservation* Next(const std::function<bool(const std::string& team)>& may_serve);
-  // Removes the reservation that Next returned, and charges its team.
+  // Removes the reservation that Next returned and charges its cost to the team.
   void PopServed();
 
   [[nodiscard]] bool empty() const { return teams_.empty(); }
-  // Queued reservations.
+  // Number of queued reservations.
   [[nodiscard]] size_t size() const { return size_; }
   // Cost of the team's queued reservations.
   [[nodiscard]] double CostOf(const std::string& team) const;
-  // The same, of those up to and including this one.
+  // Cost of the reservations in the team's queue up to and including this one.
   [[nodiscard]] double CostThrough(const Reservation* reservation) const;
-  // Teams that have queued reservations, and the sum of their weights.
+  // Number of teams with queued reservations.
   [[nodiscard]] size_t active_teams() const { return teams_.size(); }
+  // Sum of the weights of these teams.
   [[nodiscard]] double active_weight() const { return active_weight_; }
 
  private:
@@ -58,14 +60,14 @@
     double cost = 0;
     double weight = 1;
     double deficit = 0;
-    bool visited = false;  // its quantum of this round was added
+    bool visited = false;  // the quantum of the current round was added to `deficit`
   };
-  // Ends the team's part of this round. Requires it to be at the front.
+  // Moves the team, which must be the first of the round, to the end of the round.
   void Rotate(Team* team);
   void EraseTeam(const std::string& name);
 
   std::map<std::string, Team> teams_;
-  std::list<std::string> round_;  // names of teams_; the front one is served
+  std::list<std::string> round_;  // names of teams_ in the order of service; the first is served
   size_t size_ = 0;
   double active_weight_ = 0;
 };
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -1,5 +1,5 @@
-// The figures that admission works with, derived once from the platform's and the operators'
-// settings. `--check` prints them.
+// Limits and rates of admission control, derived once from the platform's and the operators'
+// settings. `zinclead --check` prints them.
 #ifndef ZINCLEAD_ADMISSION_LIMITS_H_
 #define ZINCLEAD_ADMISSION_LIMITS_H_
 
@@ -15,71 +15,78 @@
 
 namespace zinclead::admission {
 
+// Number of tiers: each priority of the protocol is one.
 inline constexpr size_t kTiers = 4;
 
-// A tier is a priority of the protocol: 0 is production.
+// Returns the tier of a priority: 0 for production, the highest.
 [[nodiscard]] constexpr size_t TierOf(wire::Priority priority) {
   return static_cast<size_t>(priority);
 }
 
-// Users repeat a refused submission for this long in total, and wait no longer than
-// kMaxRetryAfterS between two tries (PROTOCOL, "POST /submissions").
+// Users repeat a refused submission for up to kUserRetryLimitS after the first one and wait at most
+// kMaxRetryAfterS before each retry (PROTOCOL, "POST /submissions").
 inline constexpr double kUserRetryLimitS = 60;
 inline constexpr int kMaxRetryAfterS = 30;
 
-// Record writes of any job: its submission and its end. The least cost of a job.
+// Minimum cost of a job: one record write when it is submitted and one when it ends.
 inline constexpr double kRecordsPerJob = 2;
 
-// Costs are in record writes of the state service, rates in costs a second.
+// Costs are in record writes to the state service, rates in record writes per second.
 struct Limits {
-  bool fair = false;
+  // Whether fair admission is on. Otherwise max_active_jobs is the only limit.
+  bool is_fair_admission_on = false;
   size_t max_active_jobs = 0;
-  // Retry-After of a refusal at max_active_jobs while fair admission is off.
+  // Retry-After of a submission above max_active_jobs while fair admission is off.
   int busy_retry_s = 1;
   size_t teams = 0;
 
-  // Rate over all tiers, and the rate that each tier is guaranteed.
+  // Rate of all tiers together.
   double rate = 0;
+  // Rate that is guaranteed to each tier.
   std::array<double, kTiers> tier_rate{};
   // Size of each tier's token bucket.
   std::array<double, kTiers> tier_burst{};
-  // Tasks whose progress shares one record.
+  // Number of tasks whose progress fits one record.
   double tasks_per_record = 1;
-  // A team's weight within each tier, and the sum over all teams.
+  // Weight of each team within a tier.
   std::map<std::string, double> team_weight;
+  // Sum of all teams' weights, at least 1.
   double total_weight = 0;
-  // Cost of the reservations that a team of weight 1 may hold in each tier.
-  std::array<double, kTiers> reservation_cost_per_weight{};
-  // How long a reservation stays open for its user after the time that was named.
+  // Maximum cost of the reservations that a team of weight 1 holds in each tier.
+  std::array<double, kTiers> max_reservation_cost_per_weight{};
+  // Time after which a reservation expires if its user does not retry, from the retry time on.
   double reservation_window_s = 0;
-  // Admitted jobs whose record is not durable yet, at most.
+  // Maximum number of admitted jobs whose record is not durable yet.
   size_t max_unstored = 0;
-  // Retry-After of refusals without a reservation is drawn from this range.
+  // Range of the random Retry-After of a refusal without a reservation.
   int no_reservation_retry_min_s = 0;
   int no_reservation_retry_max_s = 0;
-  // Retry-After while there is no leader is drawn from the range from 1 to this.
+  // Maximum of the random Retry-After while there is no leader; the minimum is 1.
   int no_leader_retry_max_s = 1;
-  // Submissions a second that a follower without a valid grant forwards.
+  // Submissions per second that a follower without a valid grant forwards.
   double fallback_rate = 0;
 
-  // 1 for unknown teams.
+  // Weight of the team within a tier; 1 for unknown teams.
   [[nodiscard]] double WeightOf(const std::string& team) const;
-  // Cost of the reservations that the team may hold in a tier. A single one of any cost is allowed.
-  [[nodiscard]] double ReservationCost(const std::string& team, size_t tier) const;
-  // Most reservations over all teams and tiers, counting each with the least cost.
+  // Maximum cost of the reservations that the team holds in the tier. A single reservation may
+  // exceed it.
+  [[nodiscard]] double MaxReservationCost(const std::string& team, size_t tier) const;
+  // Maximum number of reservations of all teams and tiers, assuming jobs of minimum cost.
   [[nodiscard]] size_t MaxReservations() const;
-  // Cost of a job: its own record and the records of its progress.
+  // Cost of a job: writes of its own record and of the records of its progress.
   [[nodiscard]] double CostOf(const wire::JobSpec& spec) const;
-  // Upper bound, in seconds, of the time from a refusal with a reservation until that is granted,
-  // while neither max_active_jobs nor the state service is the limit: all teams of the tier hold
-  // their full share of reservations and all jobs cost `job_cost`. 0 if the tier has no rate.
+  // Upper bound, in seconds, of the time from a job's first refusal with a reservation to the
+  // grant. Assumes that all teams hold their maximum of reservations in the tier, that each job
+  // costs `job_cost`, and that neither max_active_jobs nor the state service delays the grant. 0 if
+  // the tier has no rate.
   [[nodiscard]] double WaitBound(size_t tier, double job_cost = kRecordsPerJob) const;
 };
 
+// Computes the limits from valid settings.
 [[nodiscard]] Limits DeriveLimits(const config::Settings& settings,
                                   const config::OperatorSettings& operator_settings);
 
-// One line per figure, for operators.
+// Describes the limits for operators, one text line per element.
 [[nodiscard]] std::vector<std::string> Describe(const Limits& limits);
 
 }  // namespace zinclead::admission
--- a/src/config/endpoint.cc
+++ b/src/config/endpoint.cc
@@ -13,7 +13,7 @@
   return inet_pton(AF_INET, host.c_str(), &address) == 1;
 }
 
-// Decimal digits only; 0 if it is not a port.
+// Parses decimal digits. Returns 0 if the text is not a port.
 uint16_t ParsePort(const std::string& text) {
   uint16_t port = 0;
   const char* const text_end = text.data() + text.size();
--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -1,4 +1,4 @@
-// An address that a process listens on or calls.
+// A network address on which a process listens or to which a process connects.
 #ifndef ZINCLEAD_CONFIG_ENDPOINT_H_
 #define ZINCLEAD_CONFIG_ENDPOINT_H_
 
@@ -8,14 +8,17 @@
 
 namespace zinclead::config {
 
+// A host and port.
 struct Endpoint {
-  std::string host;  // an IPv4 address by number
+  std::string host;  // numeric IPv4 address
   uint16_t port = 0;
   bool operator==(const Endpoint&) const = default;
+  // Formats the endpoint as "10.0.0.1:8080".
   [[nodiscard]] std::string ToString() const { return host + ":" + std::to_string(port); }
 };
 
-// Parses "10.0.0.1:8080"; IPv4 by number only, ports from 1 to 65535.
+// Parses text such as "10.0.0.1:8080". Returns nullopt unless it is a numeric IPv4 address and a
+// port from 1 to 65535.
 [[nodiscard]] std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace zinclead::config
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -21,7 +21,8 @@
 constexpr double kMaxWeight = 100;
 constexpr double kYearS = 365.0 * 24 * 3600;
 
-// An attribute of a section, its range, and where its value is kept; an int is a whole number.
+// An attribute of a section, its range, and the variable that receives its value. An int accepts
+// only whole numbers.
 struct Attribute {
   const char* section;
   const char* name;
@@ -32,7 +33,7 @@
   [[nodiscard]] std::string Path() const { return std::string(section) + "/" + name; }
 };
 
-// The names of all attributes in the operators' file.
+// All attributes of the operators' file. They write to `settings`, which must outlive them.
 std::vector<Attribute> Attributes(OperatorSettings* settings) {
   AdmissionSettings* admission = &settings->admission;
   return {
@@ -62,9 +63,9 @@
 }
 
 SettingsResult<double> ParseNumber(const std::string& field, const std::string& text) {
-  char* end = nullptr;
-  const double value = std::strtod(text.c_str(), &end);
-  if (text.empty() || *end != '\0' || !std::isfinite(value)) {
+  char* parsed_end = nullptr;
+  const double value = std::strtod(text.c_str(), &parsed_end);
+  if (text.empty() || *parsed_end != '\0' || !std::isfinite(value)) {
     return Failure(field, "must be a number");
   }
   return value;
@@ -98,7 +99,7 @@
   return {};
 }
 
-// <admission><team name="..." weight="..."/></admission>
+// Reads one <team name="..." weight="..."/> of the section <admission>.
 SettingsResult<void> ReadTeamWeight(const pugi::xml_node& section, const pugi::xml_node& element,
                                     AdmissionSettings* admission) {
   const std::string path = std::string(section.name()) + "/" + element.name();
@@ -111,7 +112,7 @@
                          kMinWeight, kMaxWeight);
   if (!weight) return tl::unexpected<SettingsError>(weight.error());
   if (!admission->team_weights.emplace(team, *weight).second) {
-    return Failure(team_path, "is there twice");
+    return Failure(team_path, "is defined more than once");
   }
   return {};
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,6 +1,5 @@
-// The operators' own settings (XML, optional): the figures that the design leaves open. Every
-// figure that belongs to the platform is a ratio to the platform's settings. docs/operations.md
-// lists them. Times are in seconds.
+// The operators' settings, read from an optional XML file. Limits that depend on the platform are
+// ratios of the platform's settings. docs/operations.md lists all settings. Times are in seconds.
 #ifndef ZINCLEAD_CONFIG_OPERATOR_SETTINGS_H_
 #define ZINCLEAD_CONFIG_OPERATOR_SETTINGS_H_
 
@@ -11,53 +10,56 @@
 
 namespace zinclead::config {
 
-// How new submissions share the state service's writes when more comes than can be recorded
+// Settings of admission control, which divides the state service's write rate among new submissions
 // (docs/admission.md).
 struct AdmissionSettings {
-  // 1: submissions are admitted by tier and team. 0: by the limit of active jobs alone.
+  // 1: the write rate is divided by tier and team. 0: max_active_jobs is the only limit.
   int fair = 0;
-  // Share of the state service's writes that new jobs may take.
+  // Maximum share of the state service's write rate for new jobs.
   double rate_share = 0.75;
-  // How much of its rate a tier may save up.
+  // Size of each tier's token bucket, in seconds of the tier's rate.
   double burst_s = 10;
-  // How long a reservation stays open for its user after the time that was named.
+  // Time after which a reservation expires if its user does not retry, from the retry time on.
   double reservation_window_s = 5;
-  // Parts of the rate that the tiers are guaranteed.
+  // Weights by which the rate is divided among the tiers.
   double prod_weight = 6;
   double high_weight = 4;
   double standard_weight = 3;
   double best_effort_weight = 2;
-  // Teams' weights within each tier; 1 where a team is not named.
+  // Weights of the teams within each tier; 1 for teams that are not listed.
   std::map<std::string, double> team_weights;
 };
 
+// All settings of the operators' file, with their defaults.
 struct OperatorSettings {
-  // Dispatch: pending jobs are tried again after retry_s plus up to retry_jitter_s, oldest first;
-  // deadline_s after its submission a job loses its place in that order (it still runs).
+  // Dispatch: the scheduler retries pending jobs, oldest first, every retry_s plus a random time up
+  // to retry_jitter_s. A job that was submitted more than deadline_s ago is scheduled after
+  // the other jobs of its rank, but still runs.
   double retry_s = 5;
   double retry_jitter_s = 1;
   double deadline_s = 14400;
-  // A job of which nothing has started after this time goes ahead of all but production.
+  // Guards against starvation: a job of which no task has started after this time is scheduled
+  // before all jobs except those of production priority.
   double starvation_limit_s = 120;
-  // Admission: new jobs above this number of active ones are answered busy.
+  // Admission: maximum number of active jobs. Further submissions are refused with a Retry-After.
   int max_active_jobs = 1024;
   AdmissionSettings admission;
-  // Fleet: an idle machine is scaled in after idle_s; scale-out requests use at most
+  // Fleet: a machine that has been idle for idle_s is scaled in. Scale-out requests use at most
   // scale_out_rate_share of the cloud's request rate.
   double idle_s = 20;
   double scale_out_rate_share = 0.5;
-  // A machine that is not up after boot_give_up times its type's boot time is scaled in; after
-  // boot_late times that, it no longer counts as booting.
+  // Ratios to the boot time of the machine type: a machine that is not up after boot_give_up times
+  // that time is scaled in; after boot_late times, it no longer counts as upcoming capacity.
   double boot_give_up = 4;
   double boot_late = 1.7;
-  // The leader's lease, as a share of the workers' cancel_s.
+  // Duration of the leader's lease, as a share of Settings::cancel_s.
   double leader_lease_share = 0.04;
 };
 
-// Parses the text of an operators' file. Settings that it doesn't name keep their defaults; unknown
-// ones are errors. The error names the setting as SECTION/NAME.
+// Parses the text of an operators' file. Missing settings keep their defaults; unknown settings are
+// errors. The error names the setting as SECTION/NAME.
 [[nodiscard]] SettingsResult<OperatorSettings> ParseOperatorSettings(const std::string& xml_text);
-// The same for the file at `path`; the error names the file too.
+// Reads and parses the file at `path`. The error also names the file.
 [[nodiscard]] SettingsResult<OperatorSettings> LoadOperatorSettings(const std::string& path);
 
 }  // namespace zinclead::config
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -11,7 +11,7 @@
 namespace zinclead::config {
 namespace {
 
-// The names in the settings file, in its order.
+// The names of the fields in the settings file, in the order of the file.
 namespace key {
 
 constexpr const char* kNode = "node";
@@ -23,8 +23,8 @@
 constexpr const char* kPeerAddress = "address";
 
 constexpr const char* kEndpoints = "endpoints";
-constexpr const char* kCloud = "cloud";  // an endpoint, and a table of the platform's settings
-constexpr const char* kState = "state";  // likewise
+constexpr const char* kCloud = "cloud";  // in "endpoints" and in "settings"
+constexpr const char* kState = "state";  // in "endpoints" and in "settings"
 
 constexpr const char* kPlatform = "settings";
 constexpr const char* kZones = "zones";
@@ -70,12 +70,12 @@
      {"deadline", ObjectiveKind::kDeadline}}};
 
 constexpr auto kNotNegative = TomlTable::Range::kNotNegative;
-// A transaction must fit the fence on the leader's key and a record.
+// A transaction must have room for the fence (the precondition on the leader's key) and one record.
 constexpr int kMinTxnOps = 2;
 
 ObjectiveKind ObjectiveKindOf(const std::string& text) {
-  for (const auto& [word, kind] : kObjectiveKinds) {
-    if (text == word) return kind;
+  for (const auto& [label, kind] : kObjectiveKinds) {
+    if (text == label) return kind;
   }
   return ObjectiveKind::kOther;
 }
@@ -122,7 +122,7 @@
     if (team.gpus_max > 0 && team.gpus > team.gpus_max) {
       table.Fail(key::kGpus, "is more than gpus_max");
     }
-    if (settings->FindTeam(team.name) != nullptr) table.Fail(key::kTeamName, "is there twice");
+    if (settings->FindTeam(team.name) != nullptr) table.Fail(key::kTeamName, "is not unique");
     settings->teams.push_back(std::move(team));
   }
 }
@@ -146,11 +146,11 @@
   settings->gang_peer_s = workers.Amount(key::kGangPeerS, kNotNegative);
 }
 
-// Lowers `limit` to the field of that name, if there is one.
-void Tighten(const TomlTable& table, const char* name, double* limit) {
+// Lowers `limit` to the value of the field `name`, if the table has this field and it is lower.
+void LowerLimit(const TomlTable& table, const char* name, double* limit) {
   if (table.Contains(name)) *limit = std::min(*limit, table.Amount(name));
 }
-void Tighten(const TomlTable& table, const char* name, int* limit) {
+void LowerLimit(const TomlTable& table, const char* name, int* limit) {
   if (table.Contains(name)) *limit = std::min(*limit, table.Count(name));
 }
 
@@ -160,13 +160,13 @@
   settings->state_value_kb = state.Amount(key::kValueKb);
   settings->state_txn_ops = state.Count(key::kTxnOps);
   if (!state.Contains(key::kNextLimits)) return;
-  // Limits that the state service will have from some moment on, without notice: everything is
-  // kept within the tighter of both from the start.
+  // The state service may switch to its next limits at any time without notice. Both the current
+  // and the next limits apply from the start, so that no request exceeds them after the switch.
   const TomlTable next = state.Table(key::kNextLimits);
-  Tighten(next, key::kRps, &settings->state_rps);
-  Tighten(next, key::kWriteRps, &settings->state_write_rps);
-  Tighten(next, key::kValueKb, &settings->state_value_kb);
-  Tighten(next, key::kTxnOps, &settings->state_txn_ops);
+  LowerLimit(next, key::kRps, &settings->state_rps);
+  LowerLimit(next, key::kWriteRps, &settings->state_write_rps);
+  LowerLimit(next, key::kValueKb, &settings->state_value_kb);
+  LowerLimit(next, key::kTxnOps, &settings->state_txn_ops);
 }
 
 void ReadCloudLimits(const TomlTable& cloud, Settings* settings) {
@@ -191,7 +191,7 @@
   if (settings.state_txn_ops < kMinTxnOps) state.Fail(key::kTxnOps, "must be at least 2");
 }
 
-// The order of the steps decides which of several errors is reported.
+// If several fields are invalid, the order of the steps determines which error is reported.
 Settings ReadSettings(const TomlTable& root) {
   Settings settings;
   ReadNode(root, &settings);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings file that the platform hands to every node (TOML). Times are in seconds unless the
+// The platform's settings, which every node reads from a TOML file. Times are in seconds unless the
 // name says otherwise.
 #ifndef ZINCLEAD_CONFIG_SETTINGS_H_
 #define ZINCLEAD_CONFIG_SETTINGS_H_
@@ -21,7 +21,8 @@
   Endpoint address;
 };
 
-// A team's guaranteed quota and its limit. Amounts of 0 mean none: no guarantee, no limit.
+// A team with its guaranteed quota (cpus, gpus) and its limit (cpus_max, gpus_max). 0 means no
+// guarantee or no limit.
 struct Team {
   std::string name;
   double cpus = 0;
@@ -30,65 +31,72 @@
   double gpus_max = 0;
 };
 
-// What an objective measures: the time until a job starts, the time until it has finished, or
-// whether it met its own deadline. kOther: a kind that this version does not know, and ignores.
+// What a service-level objective measures. kWait: the time until a job starts. kFinished: the time
+// until a job finishes. kDeadline: whether a job finishes by its own deadline. kOther: a kind that
+// this version does not know and ignores.
 enum class ObjectiveKind : uint8_t { kWait, kFinished, kDeadline, kOther };
 
-// What is expected of the jobs of a class.
+// A service-level objective for the jobs of a class.
 struct Objective {
   ObjectiveKind kind = ObjectiveKind::kOther;
   std::string job_class;
-  double within_s = 0;  // from the submission on; 0: none
+  double within_s = 0;  // limit since the submission; 0: none
 };
 
+// All settings of the platform's file that the service uses.
 struct Settings {
   std::string node;
   std::string zone;
-  Endpoint listen;       // for users and workers
-  Endpoint peer_listen;  // for the other nodes
+  Endpoint listen;       // address for users and workers
+  Endpoint peer_listen;  // address for the other nodes
   std::vector<Peer> peers;
   Endpoint cloud;
   Endpoint state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
+  // Interval of the workers' heartbeats; less than lease_s.
   double heartbeat_interval_s = 0;
-  // How long a worker goes on without an answer; less than cancel_s.
+  // Duration of a worker's lease: a worker without a response for this time stops its tasks. Less
+  // than cancel_s.
   double lease_s = 0;
-  // A cancelled job's tasks must have ended after this time.
+  // Maximum time from a job's cancellation to the end of all its tasks.
   double cancel_s = 0;
-  // How long a gang's task waits for the others, and how soon it notices that one has ended. 0
-  // where the platform has no gangs.
+  // Maximum time that a task of a gang waits for the other tasks. 0 if the platform has no gangs.
   double gang_wait_s = 0;
+  // Maximum time until a task of a gang detects that another one has ended. 0 if the platform has
+  // no gangs.
   double gang_peer_s = 0;
-  // Limits of the state service: requests and writes a second, size of a value, writes of a
-  // transaction.
+  // Limits of the state service: requests per second, writes per second, size of a value, and
+  // writes per transaction.
   double state_rps = 0;
   double state_write_rps = 0;
   double state_value_kb = 0;
   int state_txn_ops = 0;
-  // Limit of the cloud, in requests a second, and the age that its list of machines may have.
+  // Limit of the cloud, in requests per second.
   double cloud_rps = 0;
+  // Maximum age of the cloud's list of machines.
   double cloud_list_lag_s = 0;
-  // What this process may use: a share of a processor core, and open sockets.
+  // Limits of this process: share of a CPU core, and number of open sockets.
   double core_share = 0;
   int sockets = 0;
 
+  // Number of nodes of the service, including this one.
   [[nodiscard]] size_t NodeCount() const { return peers.size() + 1; }
-  // The team of that name, or null.
+  // Returns the team with this name, or null.
   [[nodiscard]] const Team* FindTeam(const std::string& name) const;
-  // Connections of a pool that gets this share of the node's sockets, but at least `least`.
-  [[nodiscard]] size_t PoolSize(double share, size_t least) const {
-    return std::max(least, static_cast<size_t>(share * sockets));
+  // Size of a connection pool: `share` of this process's sockets, but at least `min_size`.
+  [[nodiscard]] size_t PoolSize(double share, size_t min_size) const {
+    return std::max(min_size, static_cast<size_t>(share * sockets));
   }
-  // Largest value that the state service takes, in bytes.
+  // Maximum size of a value in the state service, in bytes.
   [[nodiscard]] size_t ValueBytes() const { return static_cast<size_t>(state_value_kb * 1024); }
 };
 
-// Parses the text of a settings file. Unknown fields are ignored. The error names the first field
-// that is invalid, or the line that is not TOML.
+// Parses the text of a settings file. Unknown fields are ignored. The error names the first invalid
+// field, or the line of a TOML syntax error.
 [[nodiscard]] SettingsResult<Settings> ParseSettings(const std::string& toml_text);
-// The same for the file at `path`; the error names the file too.
+// Reads and parses the file at `path`. The error also names the file.
 [[nodiscard]] SettingsResult<Settings> LoadSettings(const std::string& path);
 
 }  // namespace zinclead::config
--- a/src/config/toml_table.cc
+++ b/src/config/toml_table.cc
@@ -30,17 +30,17 @@
 }
 
 std::vector<std::string> TomlTable::Strings(const char* name) const {
-  std::vector<std::string> texts;
+  std::vector<std::string> strings;
   const toml::array* list = (*table_)[name].as_array();
-  if (list == nullptr) return texts;
+  if (list == nullptr) return strings;
   for (const toml::node& entry : *list) {
     if (auto text = entry.value<std::string>()) {
-      texts.push_back(std::move(*text));
+      strings.push_back(std::move(*text));
     } else {
       Fail(name, "must be a list of strings");
     }
   }
-  return texts;
+  return strings;
 }
 
 Endpoint TomlTable::Address(const char* name) const {
@@ -74,10 +74,10 @@
 }
 
 TomlTable TomlTable::Table(const char* name) const {
-  static const toml::table empty;
+  static const toml::table empty_table;
   const toml::table* found = (*table_)[name].as_table();
   if (found == nullptr) Fail(name, "is missing or not a table");
-  return {found == nullptr ? empty : *found, path_ + name + ".", error_};
+  return {found == nullptr ? empty_table : *found, path_ + name + ".", error_};
 }
 
 std::vector<TomlTable> TomlTable::Tables(const char* name) const {
--- a/src/wire/cloud_api.cc
+++ b/src/wire/cloud_api.cc
@@ -10,7 +10,7 @@
 namespace zinclead::wire {
 namespace {
 
-// The cloud's error text for a scale-out that it has no capacity for.
+// Error text of the cloud's response to a scale-out request that exceeds its capacity.
 constexpr const char* kNoCapacityError = "no capacity";
 
 ParseResult<ListedMachine> ListedMachineFromJson(const Json& json) {
@@ -87,9 +87,9 @@
       });
 }
 
-std::string MachineListPath(const std::string& after, int limit) {
+std::string MachineListPath(const std::string& after_id, int limit) {
   std::string path = std::string(kMachinesPath) + "?" + query::kLimit + "=" + std::to_string(limit);
-  if (!after.empty()) path += std::string("&") + query::kAfter + "=" + UrlEscape(after);
+  if (!after_id.empty()) path += std::string("&") + query::kAfter + "=" + UrlEscape(after_id);
   return path;
 }
 
--- a/src/wire/cloud_api.h
+++ b/src/wire/cloud_api.h
@@ -15,52 +15,61 @@
 namespace zinclead::wire {
 
 inline constexpr std::string_view kMachineTypesPath = "/flavors";
-// POST scales out, GET lists.
+// POST scales out; GET lists the machines.
 inline constexpr std::string_view kMachinesPath = "/hosts";
 inline constexpr std::string_view kMachinesDeletePath = "/hosts/delete";
 
-// The cloud charges at least this much of a machine's time, in seconds.
+// Minimum time that the cloud charges for a machine, in seconds.
 inline constexpr double kMinChargeS = 60;
-// Machines of one scale-out request, names of one deletion, and machines of one page.
+// Maximum numbers of machines in a scale-out request, of ids in a deletion request, and of machines
+// in a page of the list.
 inline constexpr int kMaxScaleOutCount = 50;
 inline constexpr size_t kMaxDeleteNames = 100;
 inline constexpr int kMaxMachinesPerPage = 500;
 
+// A machine type that the cloud offers. Amounts are those of one machine.
 struct MachineType {
   std::string name;
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
-  double cache_gb = 0;  // for images
-  double fetch_gb_per_s = 0;
-  double price = 0;  // per hour
-  double spot_price = 0;
+  double cache_gb = 0;        // size of the image cache
+  double fetch_gb_per_s = 0;  // rate of image downloads
+  double price = 0;           // per hour
+  double spot_price = 0;      // per hour
   double boot_s = 0;
-  std::vector<std::string> zones;  // that have it
+  std::vector<std::string> zones;  // zones that offer this type
 };
+// Parses the response to GET /flavors.
 [[nodiscard]] ParseResult<std::vector<MachineType>> ParseMachineTypes(std::string_view body);
-// The form of a machine type that records use too.
+// Reads a machine type. The service's records use the same format.
 [[nodiscard]] ParseResult<MachineType> MachineTypeFromJson(const Json& json);
+// Inverse of MachineTypeFromJson.
 [[nodiscard]] Json ToJson(const MachineType& type);
 
+// A request for new machines of one type in one zone.
 struct ScaleOutRequest {
-  std::string name;  // makes a repeated request harmless
+  std::string name;  // idempotency key: a repeated request creates no further machines
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;  // 1 to kMaxScaleOutCount
 };
+// Body of POST /hosts.
 [[nodiscard]] std::string ScaleOutBody(const ScaleOutRequest& request);
-// The ids of the new machines.
+// Parses the response to POST /hosts: the ids of the new machines.
 [[nodiscard]] ParseResult<std::vector<std::string>> ParseScaleOutResponse(std::string_view body);
-// Requires at most kMaxDeleteNames ids.
+// Body of POST /hosts/delete. Requires at most kMaxDeleteNames ids.
 [[nodiscard]] std::string DeleteBody(const std::vector<std::string>& machines);
-// True for the cloud's answer that says there is no capacity, as opposed to an outage.
+// Returns whether the body of an error response says that the cloud has no capacity, as opposed to
+// an outage.
 [[nodiscard]] bool IsNoCapacity(std::string_view body);
 
-// kFailed: the machine has stopped by itself; it is listed until it is deleted.
+// State of a machine according to the cloud. kFailed: the machine stopped without a deletion
+// request; the cloud lists it until it is deleted.
 enum class ListedState : uint8_t { kBooting, kRunning, kFailed };
 
+// A machine in the cloud's list.
 struct ListedMachine {
   std::string id;
   std::string address;
@@ -68,15 +77,18 @@
   std::string zone;
   bool spot = false;
   ListedState state = ListedState::kBooting;
-  double age_s = 0;  // since it was requested
+  double age_s = 0;  // time since the scale-out request
 };
+// A page of the cloud's list.
 struct MachinePage {
   std::vector<ListedMachine> machines;  // ordered by id
   bool more = false;                    // another page follows
 };
+// Parses the response to GET /hosts.
 [[nodiscard]] ParseResult<MachinePage> ParseMachinePage(std::string_view body);
-// The machines that follow the id `after`; empty: from the first one on.
-[[nodiscard]] std::string MachineListPath(const std::string& after, int limit);
+// Path that lists up to `limit` machines whose id follows `after_id`, or the first ones if
+// `after_id` is empty.
+[[nodiscard]] std::string MachineListPath(const std::string& after_id, int limit);
 
 }  // namespace zinclead::wire
 
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,17 +1,17 @@
-// The one table of the names of JSON fields and query parameters on the wire. Parsers and
-// serializers use these constants, so that each name is written once; the structures use the
-// ordinary terms that the constants carry. The words for enumerations are in wire/labels.h.
+// Names of all JSON fields and query parameters on the wire. Each constant has the name that the
+// code uses for the field; its value is the name on the wire, which must not change. The words for
+// enumerators are in wire/labels.h.
 #ifndef ZINCLEAD_WIRE_FIELD_NAMES_H_
 #define ZINCLEAD_WIRE_FIELD_NAMES_H_
 
 namespace zinclead::wire {
 
-// Fields of the protocol with users, workers, the cloud and the state service (PROTOCOL). A name
-// that several messages use with related meanings stands once.
+// Fields of the protocol with users, workers, the cloud and the state service (PROTOCOL). Messages
+// that use the same name with related meanings share one constant.
 namespace field {
 
 // Shared by several APIs.
-inline constexpr const char* kId = "uid";  // of a job or of a listed machine
+inline constexpr const char* kId = "uid";  // of a job or of a machine in the cloud's list
 inline constexpr const char* kZone = "yard";
 inline constexpr const char* kZones = "yards";
 inline constexpr const char* kSpot = "scrap";
@@ -95,7 +95,8 @@
 
 }  // namespace query
 
-// Fields of the messages between controllers, which are zinclead's own (wire/peer_messages.h).
+// Fields of the messages between controllers, which PROTOCOL does not define
+// (wire/peer_messages.h).
 namespace peer_field {
 
 inline constexpr const char* kMethod = "method";
--- a/src/wire/heartbeat_reader.cc
+++ b/src/wire/heartbeat_reader.cc
@@ -12,50 +12,52 @@
 constexpr size_t kMaxTextBytes = 1024;
 constexpr size_t kMaxMachineNameBytes = 100;
 
-// Prefixes the errors that are found within the list of tasks.
-std::string InTaskList(const std::string& text) { return std::string(field::kTasks) + ": " + text; }
+// Adds the prefix of errors within the list of tasks.
+std::string PrefixTaskList(const std::string& text) {
+  return std::string(field::kTasks) + ": " + text;
+}
 
 }  // namespace
 
 struct HeartbeatReader::FieldInfo {
   Field field;
   const char* name;
-  Place place;
+  Scope scope;
   bool required;
 };
 
 const std::array<HeartbeatReader::FieldInfo, HeartbeatReader::kFieldCount - 1>&
 HeartbeatReader::Fields() {
   static constexpr std::array<FieldInfo, kFieldCount - 1> kFields{{
-      {Field::kMachine, field::kMachine, Place::kHeartbeat, true},
-      {Field::kAddress, field::kAddress, Place::kHeartbeat, true},
-      {Field::kMachineType, field::kMachineType, Place::kHeartbeat, true},
-      {Field::kZone, field::kZone, Place::kHeartbeat, true},
-      {Field::kSpot, field::kSpot, Place::kHeartbeat, true},
-      {Field::kAgentEpoch, field::kAgentEpoch, Place::kHeartbeat, true},
-      {Field::kSequence, field::kSequence, Place::kHeartbeat, true},
-      {Field::kFencingToken, field::kFencingToken, Place::kHeartbeat, true},
-      {Field::kNotice, field::kNoticeS, Place::kHeartbeat, false},
-      {Field::kTasks, field::kTasks, Place::kHeartbeat, true},
-      {Field::kTaskName, field::kTask, Place::kTask, true},
-      {Field::kAttempt, field::kAttempt, Place::kTask, true},
-      {Field::kPhase, field::kPhase, Place::kTask, true},
-      {Field::kCause, field::kCause, Place::kTask, false},
-      {Field::kSaved, field::kSaved, Place::kTask, false},
+      {Field::kMachine, field::kMachine, Scope::kHeartbeat, true},
+      {Field::kAddress, field::kAddress, Scope::kHeartbeat, true},
+      {Field::kMachineType, field::kMachineType, Scope::kHeartbeat, true},
+      {Field::kZone, field::kZone, Scope::kHeartbeat, true},
+      {Field::kSpot, field::kSpot, Scope::kHeartbeat, true},
+      {Field::kAgentEpoch, field::kAgentEpoch, Scope::kHeartbeat, true},
+      {Field::kSequence, field::kSequence, Scope::kHeartbeat, true},
+      {Field::kFencingToken, field::kFencingToken, Scope::kHeartbeat, true},
+      {Field::kNotice, field::kNoticeS, Scope::kHeartbeat, false},
+      {Field::kTasks, field::kTasks, Scope::kHeartbeat, true},
+      {Field::kTaskName, field::kTask, Scope::kTask, true},
+      {Field::kAttempt, field::kAttempt, Scope::kTask, true},
+      {Field::kPhase, field::kPhase, Scope::kTask, true},
+      {Field::kCause, field::kCause, Scope::kTask, false},
+      {Field::kSaved, field::kSaved, Scope::kTask, false},
   }};
   return kFields;
 }
 
-HeartbeatReader::Field HeartbeatReader::FindField(Place place, const std::string& name) {
-  for (const FieldInfo& known : Fields()) {
-    if (known.place == place && name == known.name) return known.field;
+HeartbeatReader::Field HeartbeatReader::FindField(Scope scope, const std::string& name) {
+  for (const FieldInfo& info : Fields()) {
+    if (info.scope == scope && name == info.name) return info.field;
   }
   return Field::kUnknown;
 }
 
 const char* HeartbeatReader::NameOf(Field field) {
-  for (const FieldInfo& known : Fields()) {
-    if (known.field == field) return known.name;
+  for (const FieldInfo& info : Fields()) {
+    if (info.field == field) return info.name;
   }
   return "";
 }
@@ -65,7 +67,7 @@
 
 bool HeartbeatReader::Fail(Field field, const char* reason) {
   const char* name = NameOf(field);
-  if (!error_) error_ = ParseError{place_ == Place::kTask ? InTaskList(name) : name, reason};
+  if (!error_) error_ = ParseError{scope_ == Scope::kTask ? PrefixTaskList(name) : name, reason};
   return false;
 }
 
@@ -74,7 +76,7 @@
   return false;
 }
 
-bool HeartbeatReader::WrongType() {
+bool HeartbeatReader::HandleWrongType() {
   switch (field_) {
     case Field::kUnknown:
     case Field::kSaved:
@@ -99,15 +101,15 @@
 }
 
 bool HeartbeatReader::CheckInsideObject() {
-  if (place_ == Place::kOutside) return Fail("not a JSON object");
-  if (place_ == Place::kTaskList) return Fail(InTaskList("not a JSON object"));
+  if (scope_ == Scope::kOutside) return Fail("not a JSON object");
+  if (scope_ == Scope::kTaskList) return Fail(PrefixTaskList("not a JSON object"));
   return true;
 }
 
-bool HeartbeatReader::CheckRequired(Place place) {
-  for (const FieldInfo& known : Fields()) {
-    if (known.place != place || !known.required) continue;
-    if (!seen_.test(static_cast<size_t>(known.field))) return Fail(known.field, "is missing");
+bool HeartbeatReader::CheckRequired(Scope scope) {
+  for (const FieldInfo& info : Fields()) {
+    if (info.scope != scope || !info.required) continue;
+    if (!seen_.test(static_cast<size_t>(info.field))) return Fail(info.field, "is missing");
   }
   return true;
 }
@@ -153,8 +155,8 @@
 
 bool HeartbeatReader::SetString(const std::string& value) {
   std::string* target = StringTarget();
-  if (target == nullptr) return WrongType();
-  // A cause that is too long is an unknown one.
+  if (target == nullptr) return HandleWrongType();
+  // A cause that is too long counts as unknown.
   if (value.size() > kMaxTextBytes && field_ != Field::kCause) return Fail(field_, "is too long");
   *target = value;
   MarkSeen(field_);
@@ -170,14 +172,14 @@
 }
 
 bool HeartbeatReader::SetAmount(double value) {
-  if (field_ != Field::kNotice) return WrongType();
+  if (field_ != Field::kNotice) return HandleWrongType();
   if (!std::isfinite(value) || value < 0) return Fail(field_, "must be finite and not negative");
   heartbeat_.notice_s = value;
   return true;
 }
 
 bool HeartbeatReader::null() {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   if (!CheckInsideObject()) return false;
   MarkMissing(field_);
   if (field_ == Field::kNotice) heartbeat_.notice_s.reset();
@@ -185,36 +187,36 @@
 }
 
 bool HeartbeatReader::boolean(bool value) {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   if (!CheckInsideObject()) return false;
   if (field_ == Field::kSpot) {
     heartbeat_.spot = value;
   } else if (field_ == Field::kSaved) {
     task_.saved = value;
   } else {
-    return WrongType();
+    return HandleWrongType();
   }
   MarkSeen(field_);
   return true;
 }
 
 bool HeartbeatReader::number_integer(int64_t value) {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   return CheckInsideObject() && SetAmount(static_cast<double>(value));
 }
 
 bool HeartbeatReader::number_unsigned(uint64_t value) {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   return CheckInsideObject() && SetUnsigned(value);
 }
 
 bool HeartbeatReader::number_float(double value, const std::string& /*text*/) {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   return CheckInsideObject() && SetAmount(value);
 }
 
 bool HeartbeatReader::string(std::string& value) {
-  if (Skipping()) return true;
+  if (IsSkipping()) return true;
   return CheckInsideObject() && SetString(value);
 }
 
@@ -224,52 +226,52 @@
 // Structure
 
 bool HeartbeatReader::start_object(size_t /*size*/) {
-  if (!Skipping() && place_ == Place::kOutside) {
-    place_ = Place::kHeartbeat;
+  if (!IsSkipping() && scope_ == Scope::kOutside) {
+    scope_ = Scope::kHeartbeat;
     return true;
   }
-  if (!Skipping() && place_ == Place::kTaskList) {
+  if (!IsSkipping() && scope_ == Scope::kTaskList) {
     BeginTask();
     return true;
   }
-  if (!Skipping() && !WrongType()) return false;
+  if (!IsSkipping() && !HandleWrongType()) return false;
   ++skipped_depth_;
   return true;
 }
 
 bool HeartbeatReader::key(std::string& name) {
-  if (!Skipping()) field_ = FindField(place_, name);
+  if (!IsSkipping()) field_ = FindField(scope_, name);
   return true;
 }
 
 bool HeartbeatReader::end_object() {
-  if (Skipping()) {
+  if (IsSkipping()) {
     --skipped_depth_;
     return true;
   }
-  if (place_ == Place::kTask) return FinishTask();
-  place_ = Place::kOutside;
+  if (scope_ == Scope::kTask) return FinishTask();
+  scope_ = Scope::kOutside;
   return true;
 }
 
 bool HeartbeatReader::start_array(size_t /*size*/) {
-  if (!Skipping() && !CheckInsideObject()) return false;
-  if (!Skipping() && place_ == Place::kHeartbeat && field_ == Field::kTasks) {
-    place_ = Place::kTaskList;
+  if (!IsSkipping() && !CheckInsideObject()) return false;
+  if (!IsSkipping() && scope_ == Scope::kHeartbeat && field_ == Field::kTasks) {
+    scope_ = Scope::kTaskList;
     heartbeat_.tasks.clear();
     return true;
   }
-  if (!Skipping() && !WrongType()) return false;
+  if (!IsSkipping() && !HandleWrongType()) return false;
   ++skipped_depth_;
   return true;
 }
 
 bool HeartbeatReader::end_array() {
-  if (Skipping()) {
+  if (IsSkipping()) {
     --skipped_depth_;
     return true;
   }
-  place_ = Place::kHeartbeat;
+  scope_ = Scope::kHeartbeat;
   MarkSeen(Field::kTasks);
   return true;
 }
@@ -280,27 +282,27 @@
 }
 
 void HeartbeatReader::BeginTask() {
-  place_ = Place::kTask;
+  scope_ = Scope::kTask;
   task_ = {};
   task_name_.clear();
   phase_.clear();
   cause_.clear();
-  for (const FieldInfo& known : Fields()) {
-    if (known.place == Place::kTask) MarkMissing(known.field);
+  for (const FieldInfo& info : Fields()) {
+    if (info.scope == Scope::kTask) MarkMissing(info.field);
   }
 }
 
 bool HeartbeatReader::FinishTask() {
-  if (!CheckRequired(Place::kTask)) return false;
-  place_ = Place::kTaskList;
+  if (!CheckRequired(Scope::kTask)) return false;
+  scope_ = Scope::kTaskList;
   auto ref = ParseTaskName(task_name_);
-  if (!ref) return Fail(InTaskList("bad task name"));
+  if (!ref) return Fail(PrefixTaskList("bad task name"));
   task_.task = std::move(*ref);
-  // A word that is not known: the task may still run.
+  // A task with an unknown phase may still run.
   task_.phase = FromLabel(kTaskPhases, phase_).value_or(TaskPhase::kRunning);
   if (task_.phase == TaskPhase::kEnded) {
-    // A cause that is not known must not cost the whole heartbeat: the task has ended all the same.
-    task_.cause = FromLabel(kCauses, cause_).value_or(EndCause::kOther);
+    // An unknown cause must not invalidate the heartbeat: the task has ended in any case.
+    task_.cause = FromLabel(kEndCauses, cause_).value_or(EndCause::kOther);
   }
   heartbeat_.tasks.push_back(std::move(task_));
   return true;
@@ -309,7 +311,7 @@
 ParseResult<Heartbeat> HeartbeatReader::Finish(bool parsed) {
   if (!parsed) {
     Fail("not a JSON object");
-  } else if (CheckRequired(Place::kHeartbeat) &&
+  } else if (CheckRequired(Scope::kHeartbeat) &&
              (heartbeat_.machine.empty() || heartbeat_.machine.size() > kMaxMachineNameBytes)) {
     Fail(Field::kMachine, "is empty or too long");
   }
--- a/src/wire/heartbeat_reader.h
+++ b/src/wire/heartbeat_reader.h
@@ -1,5 +1,5 @@
-// Reads a worker's heartbeat in one pass over its text, without building a tree of it first:
-// heartbeats are most of what a leader receives. Used inside this package.
+// Parses a worker's heartbeat in one pass without building a JSON tree, because most messages that
+// a leader receives are heartbeats. Internal to this package.
 #ifndef ZINCLEAD_WIRE_HEARTBEAT_READER_H_
 #define ZINCLEAD_WIRE_HEARTBEAT_READER_H_
 
@@ -16,15 +16,15 @@
 
 namespace zinclead::wire {
 
-// The handler of nlohmann's event parser (Json::sax_parse), for one heartbeat. Reading stops at the
-// first field that is invalid. Of fields that come twice the last counts, null is as good as
-// missing, and unknown fields are skipped.
+// Handler for nlohmann's SAX parser (Json::sax_parse), used for one heartbeat. Parsing stops at the
+// first invalid field. If a field occurs twice, the last value is used. A null field counts as
+// missing. Unknown fields are skipped.
 class HeartbeatReader {
  public:
-  // The heartbeat, or the first error. To be called once, with the parser's result.
+  // Returns the heartbeat or the first error. Call once, with the result of Json::sax_parse.
   [[nodiscard]] ParseResult<Heartbeat> Finish(bool parsed);
 
-  // The parser's events; each returns false to end the parse. The names are the parser's.
+  // Events of the SAX parser, which requires these names. Each returns false to stop the parser.
   bool null();
   bool boolean(bool value);
   bool number_integer(int64_t value);
@@ -40,8 +40,9 @@
   bool parse_error(size_t position, const std::string& token, const Json::exception& error);
 
  private:
-  // Where the parser is. What lies deeper than a task is skipped.
-  enum class Place : uint8_t { kOutside, kHeartbeat, kTaskList, kTask };
+  // The JSON value that encloses the parser's position. Values within a task's fields are skipped.
+  enum class Scope : uint8_t { kOutside, kHeartbeat, kTaskList, kTask };
+  // The fields of a heartbeat and of a task in it.
   enum class Field : uint8_t {
     kMachine,
     kAddress,
@@ -60,46 +61,49 @@
     kSaved,
     kUnknown
   };
-  // What is known of a field: its name on the wire, the object it belongs to, whether it is
-  // required.
+  // Describes a field: its name on the wire, the scope to which it belongs, whether it is required.
   struct FieldInfo;
   static constexpr size_t kFieldCount = static_cast<size_t>(Field::kUnknown) + 1;
 
+  // All fields except kUnknown.
   static const std::array<FieldInfo, kFieldCount - 1>& Fields();
-  static Field FindField(Place place, const std::string& name);
+  // Returns kUnknown if the scope has no field with this name.
+  static Field FindField(Scope scope, const std::string& name);
   static const char* NameOf(Field field);
 
-  // Record the first error. Return false, which ends the parse.
+  // Record an error unless there is an earlier one. Return false, which stops the parser.
   bool Fail(Field field, const char* reason);
   bool Fail(std::string reason);
-  // The value's type is not one that `field_` takes. Returns true if that is to be ignored.
-  bool WrongType();
+  // Handles a value of the wrong type for `field_`. Returns true if the value is ignored; otherwise
+  // records an error and returns false.
+  bool HandleWrongType();
 
-  // Set the field that the value belongs to.
+  // Set `field_` to the value. Return false if the value is invalid.
   bool SetString(const std::string& value);
   bool SetUnsigned(uint64_t value);
   bool SetAmount(double value);
-  // Where `field_` keeps its value, or null if it is of another type.
+  // Return the variable for the value of `field_`, or null if the field has another type.
   std::string* StringTarget();
   uint64_t* UnsignedTarget();
 
-  bool Skipping() const { return skipped_depth_ > 0; }
+  bool IsSkipping() const { return skipped_depth_ > 0; }
   void MarkSeen(Field field) { seen_.set(static_cast<size_t>(field)); }
   void MarkMissing(Field field) { seen_.reset(static_cast<size_t>(field)); }
-  // Fails unless a value may come here; only objects may be outside and in the list of tasks.
+  // Fails unless the parser is within an object. Outside the heartbeat and in the list of tasks,
+  // only objects are valid.
   bool CheckInsideObject();
-  // Fails on the first required field of `place` that was not seen.
-  bool CheckRequired(Place place);
+  // Fails if a required field of the scope was not seen.
+  bool CheckRequired(Scope scope);
   void BeginTask();
   bool FinishTask();
 
   Heartbeat heartbeat_;
   std::optional<ParseError> error_;
-  Place place_ = Place::kOutside;
-  int skipped_depth_ = 0;
-  Field field_ = Field::kUnknown;  // of the last key
+  Scope scope_ = Scope::kOutside;
+  int skipped_depth_ = 0;          // number of enclosing objects and arrays that are skipped
+  Field field_ = Field::kUnknown;  // field of the last key
   std::bitset<kFieldCount> seen_;
-  // The task that is being read.
+  // The task that is being parsed.
   TaskStatus task_;
   std::string task_name_;
   std::string phase_;
--- a/src/wire/json.cc
+++ b/src/wire/json.cc
@@ -15,18 +15,18 @@
 std::string UrlEscape(std::string_view text) {
   static constexpr char kHexDigits[] = "0123456789ABCDEF";
   static constexpr std::string_view kUnescaped = "-_./~";
-  std::string out;
+  std::string escaped;
   for (const char c : text) {
     const auto byte = static_cast<unsigned char>(c);
     if (std::isalnum(byte) != 0 || kUnescaped.find(c) != std::string_view::npos) {
-      out += c;
+      escaped += c;
     } else {
-      out += '%';
-      out += kHexDigits[byte >> 4U];
-      out += kHexDigits[byte & 15U];
+      escaped += '%';
+      escaped += kHexDigits[byte >> 4U];
+      escaped += kHexDigits[byte & 15U];
     }
   }
-  return out;
+  return escaped;
 }
 
 }  // namespace zinclead::wire
--- a/src/wire/json_reader.cc
+++ b/src/wire/json_reader.cc
@@ -10,53 +10,54 @@
   if (!json.is_object()) Fail("", "not a JSON object");
 }
 
-void JsonReader::String(const char* name, std::string* out, size_t max_bytes) {
+void JsonReader::String(const char* name, std::string* target, size_t max_bytes) {
   const Json* value = FindString(name);
   if (value == nullptr) return;
   const auto& text = value->get_ref<const std::string&>();
   if (text.size() > max_bytes) return Fail(name, "is too long");
-  *out = text;
+  *target = text;
 }
 
-void JsonReader::OptionalString(const char* name, std::optional<std::string>* out) {
+void JsonReader::OptionalString(const char* name, std::optional<std::string>* target) {
   if (Optional(name) == nullptr) return;
-  String(name, &out->emplace());
+  String(name, &target->emplace());
 }
 
-void JsonReader::OptionalStrings(const char* name, std::optional<std::vector<std::string>>* out) {
+void JsonReader::OptionalStrings(const char* name,
+                                 std::optional<std::vector<std::string>>* target) {
   const Json* list = Optional(name);
   if (list == nullptr) return;
   if (!list->is_array()) return Fail(name, "must be a list");
-  out->emplace();
+  target->emplace();
   for (const Json& item : *list) {
     if (!item.is_string()) return Fail(name, "must be a list of strings");
-    (*out)->push_back(item.get<std::string>());
+    (*target)->push_back(item.get<std::string>());
   }
 }
 
-void JsonReader::Amount(const char* name, double* out) {
+void JsonReader::Amount(const char* name, double* target) {
   const Json* value = Required(name);
-  if (value != nullptr) ReadAmount(name, *value, out);
+  if (value != nullptr) ReadAmount(name, *value, target);
 }
 
-void JsonReader::OptionalAmount(const char* name, std::optional<double>* out) {
+void JsonReader::OptionalAmount(const char* name, std::optional<double>* target) {
   const Json* value = Optional(name);
-  if (value != nullptr) ReadAmount(name, *value, &out->emplace());
+  if (value != nullptr) ReadAmount(name, *value, &target->emplace());
 }
 
-void JsonReader::Bool(const char* name, bool* out) {
+void JsonReader::Bool(const char* name, bool* target) {
   const Json* value = Required(name);
   if (value == nullptr) return;
   if (!value->is_boolean()) return Fail(name, "must be true or false");
-  *out = value->get<bool>();
+  *target = value->get<bool>();
 }
 
-void JsonReader::Unsigned(const char* name, uint64_t* out) {
+void JsonReader::Unsigned(const char* name, uint64_t* target) {
   const Json* value = Required(name);
   if (value == nullptr) return;
-  // The parser reads every non-negative integer below 2^64 as unsigned.
+  // The JSON parser stores every non-negative integer below 2^64 as unsigned.
   if (!value->is_number_unsigned()) return Fail(name, "must be a non-negative integer");
-  *out = value->get<uint64_t>();
+  *target = value->get<uint64_t>();
 }
 
 const Json* JsonReader::Array(const char* name) {
@@ -94,11 +95,11 @@
   return nullptr;
 }
 
-void JsonReader::ReadAmount(const char* name, const Json& value, double* out) {
+void JsonReader::ReadAmount(const char* name, const Json& value, double* target) {
   if (!value.is_number()) return Fail(name, "must be a number");
   const auto amount = value.get<double>();
   if (!std::isfinite(amount) || amount < 0) return Fail(name, "must be finite and not negative");
-  *out = amount;
+  *target = amount;
 }
 
 ParseResult<std::string> StringFromJson(const Json& json) {
--- a/src/wire/json_reader.h
+++ b/src/wire/json_reader.h
@@ -1,4 +1,4 @@
-// Reads the fields of one JSON object with their types and ranges. Used inside this package.
+// Reads the fields of a JSON object and checks their types and ranges. Internal to this package.
 #ifndef ZINCLEAD_WIRE_JSON_READER_H_
 #define ZINCLEAD_WIRE_JSON_READER_H_
 
@@ -16,64 +16,68 @@
 
 namespace zinclead::wire {
 
-// Each method reads one field into its output parameter. A field that is null counts as missing;
-// "Optional" methods accept that. The first error is kept and later reads do nothing, so callers
-// check once at the end, with Finish(); after an error, the outputs are unspecified.
+// Each method reads one field into its output parameter. A null field counts as missing, which is
+// an error except in the "Optional" methods. After the first error, further reads do nothing and
+// the outputs are unspecified. Callers check once for errors, with Finish(). Not thread-safe.
 class JsonReader {
  public:
+  // Default limit for the size of a string.
   static constexpr size_t kMaxStringBytes = 1024;
 
-  // Keeps a reference to `json`, which must outlive the reader.
+  // `json` must outlive the reader.
   explicit JsonReader(const Json& json);
 
+  // Returns whether there is no error so far.
   [[nodiscard]] bool ok() const { return !error_; }
-  // The value, or the first error.
+  // Returns the value, or the first error.
   template <typename T>
   [[nodiscard]] ParseResult<T> Finish(T value) const {
     if (error_) return tl::unexpected<ParseError>(*error_);
     return value;
   }
-  // The first error. Requires !ok().
+  // Returns the first error. Requires !ok().
   [[nodiscard]] tl::unexpected<ParseError> Failure() const {
     return tl::unexpected<ParseError>(*error_);
   }
 
-  void String(const char* name, std::string* out, size_t max_bytes = kMaxStringBytes);
-  void OptionalString(const char* name, std::optional<std::string>* out);
-  void OptionalStrings(const char* name, std::optional<std::vector<std::string>>* out);
-  // A finite number that is not negative.
-  void Amount(const char* name, double* out);
-  void OptionalAmount(const char* name, std::optional<double>* out);
-  void Bool(const char* name, bool* out);
+  // A string of at most `max_bytes`.
+  void String(const char* name, std::string* target, size_t max_bytes = kMaxStringBytes);
+  void OptionalString(const char* name, std::optional<std::string>* target);
+  void OptionalStrings(const char* name, std::optional<std::vector<std::string>>* target);
+  // A finite, non-negative number.
+  void Amount(const char* name, double* target);
+  void OptionalAmount(const char* name, std::optional<double>* target);
+  void Bool(const char* name, bool* target);
   // An integer from 0 to 2^64 - 1.
-  void Unsigned(const char* name, uint64_t* out);
-  // One of the words of `labels`.
+  void Unsigned(const char* name, uint64_t* target);
+  // A string that is one of `labels`.
   template <typename E, size_t N>
-  void Enum(const char* name, const std::array<std::pair<const char*, E>, N>& labels, E* out) {
+  void Enum(const char* name, const std::array<std::pair<const char*, E>, N>& labels, E* target) {
     const Json* value = FindString(name);
     if (value == nullptr) return;
     const std::optional<E> known = FromLabel(labels, value->get_ref<const std::string&>());
     if (!known) return Fail(name, "has an unknown value");
-    *out = *known;
+    *target = *known;
   }
-  // The list, or null if it is invalid.
+  // Returns the field, an array, or null after an error.
   [[nodiscard]] const Json* Array(const char* name);
 
-  // Records an error that the caller found, unless there is one already.
+  // Records an error unless there is an earlier one.
   void Fail(std::string field, std::string reason);
 
  private:
-  // The value, or null if it is missing, which for the other two is an error.
+  // Return the field, or null if the field is missing or there was an error. For Required and
+  // FindString a missing field is an error; for FindString, so is a field that is not a string.
   const Json* Optional(const char* name) const;
   const Json* Required(const char* name);
   const Json* FindString(const char* name);
-  void ReadAmount(const char* name, const Json& value, double* out);
+  void ReadAmount(const char* name, const Json& value, double* target);
 
   const Json& json_;
   std::optional<ParseError> error_;
 };
 
-// Parses each item of `list` with `parse_item`. Fails with the first item's error.
+// Parses each item of `list` with `parse_item`. Fails with the error of the first invalid item.
 template <typename T, typename ParseItem>
 [[nodiscard]] ParseResult<std::vector<T>> ParseItems(const Json& list, ParseItem&& parse_item) {
   std::vector<T> items;
@@ -86,7 +90,7 @@
   return items;
 }
 
-// Parses `body`, an object whose field `name` is a list, in the same way.
+// Parses each item of the list in the field `name` of the object `body`, as ParseItems does.
 template <typename T, typename ParseItem>
 [[nodiscard]] ParseResult<std::vector<T>> ParseList(std::string_view body, const char* name,
                                                     ParseItem&& parse_item) {
@@ -97,10 +101,10 @@
   return ParseItems<T>(*list, std::forward<ParseItem>(parse_item));
 }
 
-// Parses an item of a list of strings.
+// Returns the string. Fails if `json` is not a string.
 [[nodiscard]] ParseResult<std::string> StringFromJson(const Json& json);
 
-// Whether `json` is the body of an error answer with exactly that text.
+// Returns whether `json` is the body of an error response with exactly this text.
 [[nodiscard]] bool HasError(const Json& json, std::string_view text);
 
 }  // namespace zinclead::wire
--- a/src/wire/labels.h
+++ b/src/wire/labels.h
@@ -1,4 +1,4 @@
-// The one table of the words that stand for enumerations on the wire. The names of fields are in
+// Words for all enumerators on the wire, which must not change. The names of fields are in
 // wire/field_names.h.
 #ifndef ZINCLEAD_WIRE_LABELS_H_
 #define ZINCLEAD_WIRE_LABELS_H_
@@ -14,7 +14,7 @@
 
 namespace zinclead::wire {
 
-inline constexpr std::array<std::pair<const char*, JobKind>, 3> kKinds{
+inline constexpr std::array<std::pair<const char*, JobKind>, 3> kJobKinds{
     {{"sweep", JobKind::kArray}, {"group", JobKind::kGang}, {"daemon", JobKind::kService}}};
 inline constexpr std::array<std::pair<const char*, Priority>, 4> kPriorities{
     {{"prod", Priority::kProduction},
@@ -32,7 +32,7 @@
      {"waiting", TaskPhase::kWaiting},
      {"saving", TaskPhase::kSaving},
      {"ended", TaskPhase::kEnded}}};
-inline constexpr std::array<std::pair<const char*, EndCause>, 8> kCauses{
+inline constexpr std::array<std::pair<const char*, EndCause>, 8> kEndCauses{
     {{"done", EndCause::kDone},
      {"halted", EndCause::kStopped},
      {"error", EndCause::kError},
@@ -50,7 +50,7 @@
      {"running", ListedState::kRunning},
      {"failed", ListedState::kFailed}}};
 
-// The word for `value`, or "" if the table has none.
+// Returns the word for `value`, or "" if the table has none.
 template <typename E, size_t N>
 [[nodiscard]] const char* Label(const std::array<std::pair<const char*, E>, N>& labels, E value) {
   for (const auto& [label, labelled] : labels) {
@@ -59,7 +59,7 @@
   return "";
 }
 
-// The value that `text` stands for, or nullopt if the table does not have the word.
+// Returns the enumerator for the word `text`, or nullopt if the table does not have the word.
 template <typename E, size_t N>
 [[nodiscard]] std::optional<E> FromLabel(const std::array<std::pair<const char*, E>, N>& labels,
                                          std::string_view text) {
--- a/src/wire/parse_error.h
+++ b/src/wire/parse_error.h
@@ -1,4 +1,4 @@
-// Why a message could not be parsed.
+// Errors of parsing messages.
 #ifndef ZINCLEAD_WIRE_PARSE_ERROR_H_
 #define ZINCLEAD_WIRE_PARSE_ERROR_H_
 
@@ -8,24 +8,26 @@
 
 namespace zinclead::wire {
 
+// Describes why a message could not be parsed.
 struct ParseError {
-  // Name of the invalid field on the wire; a field of a list's item is prefixed by the list's
-  // name ("shards: strike"). Empty if the error is not that of a single field.
+  // Name of the invalid field on the wire. If the field belongs to an item of a list, the name of
+  // the list comes first ("shards: strike"). Empty if the error does not concern a single field.
   std::string field;
-  // What is wrong with it, such as "is missing".
+  // Describes the error, for example "is missing".
   std::string reason;
 
-  // The text that 400 responses carry: the field, if any, and the reason.
+  // Formats the text of a 400 response: the field, if any, and the reason.
   [[nodiscard]] std::string ToString() const {
     return field.empty() ? reason : field + " " + reason;
   }
   bool operator==(const ParseError&) const = default;
 };
 
+// A value or a ParseError.
 template <typename T>
 using ParseResult = tl::expected<T, ParseError>;
 
-// For `return ParseFailure(field, reason);` in a function that returns a ParseResult.
+// Creates the error of a ParseResult, for `return ParseFailure(field, reason);`.
 [[nodiscard]] inline tl::unexpected<ParseError> ParseFailure(std::string field,
                                                              std::string reason) {
   return tl::unexpected<ParseError>({std::move(field), std::move(reason)});
--- a/src/wire/peer_messages.cc
+++ b/src/wire/peer_messages.cc
@@ -9,11 +9,11 @@
 namespace zinclead::wire {
 namespace {
 
-// Texts of a grant's filters are never longer than this, in bytes.
-constexpr size_t kMaxFilterText = size_t{32} * 1024;
-// A user's or worker's body is within kMaxBody; escaped for the message, it may be longer.
-constexpr size_t kMaxForwardedRequestBody = 2 * kMaxBody;
-constexpr size_t kMaxForwardedResponseBody = 4 * kMaxBody;
+// Size of the text of the largest admission::BloomFilter: two digits per byte.
+constexpr size_t kMaxFilterTextBytes = size_t{32} * 1024;
+// A request's body has at most kMaxBody; in the message it may be longer because of escaping.
+constexpr size_t kMaxForwardedRequestBodyBytes = 2 * kMaxBody;
+constexpr size_t kMaxForwardedResponseBodyBytes = 4 * kMaxBody;
 
 constexpr uint64_t kMinHttpStatus = 200;
 constexpr uint64_t kMaxHttpStatus = 599;
@@ -43,8 +43,8 @@
   JsonReader reader(json);
   reader.Bool(peer_field::kLimited, &grant.limited);
   if (!reader.ok() || !grant.limited) return reader.Finish(std::move(grant));
-  reader.String(peer_field::kReservations, &grant.reservations, kMaxFilterText);
-  reader.String(peer_field::kAccepted, &grant.accepted, kMaxFilterText);
+  reader.String(peer_field::kReservations, &grant.reservations, kMaxFilterTextBytes);
+  reader.String(peer_field::kAccepted, &grant.accepted, kMaxFilterTextBytes);
   const Json* tiers = reader.Array(peer_field::kCreditsByTier);
   if (!reader.ok()) return reader.Failure();
   auto by_tier = ParseItems<CreditsByTeam>(*tiers, CreditsByTeamFromJson);
@@ -81,7 +81,7 @@
   JsonReader reader(json);
   reader.String(peer_field::kMethod, &request.method);
   reader.String(peer_field::kPath, &request.path);
-  reader.String(peer_field::kBody, &request.body, kMaxForwardedRequestBody);
+  reader.String(peer_field::kBody, &request.body, kMaxForwardedRequestBodyBytes);
   reader.Unsigned(peer_field::kTerm, &request.term);
   return reader.Finish(std::move(request));
 }
@@ -94,7 +94,7 @@
   uint64_t retry_after_s = 0;
   reader.Unsigned(peer_field::kStatus, &status);
   reader.Unsigned(peer_field::kRetryAfterS, &retry_after_s);
-  reader.String(peer_field::kBody, &response.body, kMaxForwardedResponseBody);
+  reader.String(peer_field::kBody, &response.body, kMaxForwardedResponseBodyBytes);
   reader.Unsigned(peer_field::kTerm, &response.term);
   if (status < kMinHttpStatus || status > kMaxHttpStatus) {
     reader.Fail(peer_field::kStatus, "must be from 200 to 599");
--- a/src/wire/store_api.cc
+++ b/src/wire/store_api.cc
@@ -8,7 +8,7 @@
 namespace zinclead::wire {
 namespace {
 
-// The state service's error text for a lease that has ended.
+// Error text of the state service's response for a lease that does not exist or has expired.
 constexpr const char* kNoSuchLeaseError = "no such lease";
 constexpr std::string_view kRenewSuffix = "/touch";
 
@@ -18,7 +18,7 @@
   reader.String(field::kKey, &item.key);
   reader.Unsigned(field::kVersion, &item.version);
   if (!reader.ok()) return reader.Failure();
-  // A value of null is one.
+  // null is a valid value, so a null field does not count as missing.
   if (!json.contains(field::kValue)) return ParseFailure(field::kValue, "is missing");
   item.value = json[field::kValue];
   return item;
@@ -65,10 +65,10 @@
 
 std::string StoreKeyPath(const std::string& key) { return std::string(kStorePath) + "/" + key; }
 
-std::string StoreListPath(const std::string& prefix, const std::string& after, int limit) {
+std::string StoreListPath(const std::string& prefix, const std::string& after_key, int limit) {
   std::string path = std::string(kStorePath) + "?" + query::kPrefix + "=" + UrlEscape(prefix) +
                      "&" + query::kLimit + "=" + std::to_string(limit);
-  if (!after.empty()) path += std::string("&") + query::kAfter + "=" + UrlEscape(after);
+  if (!after_key.empty()) path += std::string("&") + query::kAfter + "=" + UrlEscape(after_key);
   return path;
 }
 
@@ -107,9 +107,9 @@
 
 std::string LeaseRenewPath(uint64_t lease) { return LeasePath(lease) + std::string(kRenewSuffix); }
 
-std::string WatchPath(const std::string& prefix, uint64_t after, int64_t wait_ms) {
+std::string WatchPath(const std::string& prefix, uint64_t after_revision, int64_t wait_ms) {
   return std::string(kChangesPath) + "?" + query::kPrefix + "=" + UrlEscape(prefix) + "&" +
-         query::kAfter + "=" + std::to_string(after) + "&" + query::kWaitMs + "=" +
+         query::kAfter + "=" + std::to_string(after_revision) + "&" + query::kWaitMs + "=" +
          std::to_string(wait_ms);
 }
 
--- a/src/wire/user_api.cc
+++ b/src/wire/user_api.cc
@@ -14,11 +14,12 @@
   reader->String(field::kId, &spec->id);
   reader->String(field::kJobClass, &spec->job_class);
   reader->String(field::kTeam, &spec->team);
-  reader->Enum(field::kJobKind, kKinds, &spec->kind);
+  reader->Enum(field::kJobKind, kJobKinds, &spec->kind);
   reader->Enum(field::kPriority, kPriorities, &spec->priority);
 }
 
-// Its range is checked by CheckRanges, once all fields have the right type.
+// CheckRanges checks the range after all fields are read, so that an error in a field's type takes
+// precedence.
 uint64_t ReadTaskCount(JsonReader* reader) {
   uint64_t tasks = 0;
   reader->Unsigned(field::kTasks, &tasks);
@@ -82,7 +83,7 @@
   return id;
 }
 
-// The order of the reads decides which of several errors is reported.
+// If several fields are invalid, the order of the reads determines which error is reported.
 ParseResult<JobSpec> JobSpecFromJson(const Json& json) {
   JobSpec spec;
   JsonReader reader(json);
@@ -100,7 +101,7 @@
   Json json{{field::kId, spec.id},
             {field::kJobClass, spec.job_class},
             {field::kTeam, spec.team},
-            {field::kJobKind, Label(kKinds, spec.kind)},
+            {field::kJobKind, Label(kJobKinds, spec.kind)},
             {field::kPriority, Label(kPriorities, spec.priority)},
             {field::kTasks, spec.tasks},
             {field::kCpus, spec.cpus},
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,6 +1,6 @@
-// All formats that zinclead speaks with users, workers, cloud and state service. No I/O: clients
-// can use this package alone. The names on the wire stand in field_names.h and labels.h; the
-// structures use ordinary terms.
+// Includes the message formats of the APIs with users, workers, the cloud and the state service.
+// Without I/O, so that clients can use this package alone. The names on the wire are defined in
+// field_names.h and labels.h.
 #ifndef ZINCLEAD_WIRE_WIRE_H_
 #define ZINCLEAD_WIRE_WIRE_H_
 
--- a/src/wire/worker_api.cc
+++ b/src/wire/worker_api.cc
@@ -13,7 +13,7 @@
   Json json{{field::kTask, TaskName(status.task.job, status.task.index)},
             {field::kAttempt, status.attempt},
             {field::kPhase, Label(kTaskPhases, status.phase)}};
-  if (status.phase == TaskPhase::kEnded) json[field::kCause] = Label(kCauses, status.cause);
+  if (status.phase == TaskPhase::kEnded) json[field::kCause] = Label(kEndCauses, status.cause);
   if (status.saved) json[field::kSaved] = true;
   return json;
 }
--- a/tests/admission/credit_gate_test.cc
+++ b/tests/admission/credit_gate_test.cc
@@ -14,7 +14,8 @@
   bool Forwards(const std::string& id, int team, double now, size_t tier = kStandard) {
     return gate_.Decide({id, Team(team), tier, 2}, now).forward;
   }
-  // A leader of the term whose standard tier is flooded by the first team.
+  // Grant of a leader whose standard tier is flooded by team 0. One of the team's jobs is durable,
+  // and another one is admitted but not durable.
   wire::CreditGrant FloodedGrant() {
     AdmissionPolicy policy(limits_, 0, 1);
     const Request accepted{"req-accepted", Team(0), kStandard, 2};
@@ -36,7 +37,7 @@
   EXPECT_GE(forwarded, 1);
   EXPECT_LE(forwarded, 1 + static_cast<int>(10 * limits_.fallback_rate / 3) + 1);
   EXPECT_TRUE(Forwards("req-a", 1, 10));  // each team has its own bucket
-  // Unknown teams share one.
+  // All unknown teams share one bucket.
   EXPECT_TRUE(gate_.Decide({"x", "nobody", kProd, 2}, 10).forward);
   EXPECT_FALSE(gate_.Decide({"y", "no one", kProd, 2}, 10).forward);
 }
@@ -44,7 +45,7 @@
 TEST_F(CreditGateTest, ForwardsAllWhenTheLeaderIsOfAnOlderVersion) {
   gate_.OnLeaderAnnouncement(3, std::nullopt, 0);
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(Forwards("req-" + std::to_string(i), 0, 1));
-  // Until its announcements stop.
+  // The last announcement is no longer valid.
   int forwarded = 0;
   for (int i = 0; i < 100; ++i) forwarded += Forwards("req-" + std::to_string(i), 0, 2);
   EXPECT_LE(forwarded, 1);
@@ -52,19 +53,20 @@
 
 TEST_F(CreditGateTest, ForwardsWhenTheJobHasAReservationOrWasAccepted) {
   gate_.OnLeaderAnnouncement(3, FloodedGrant(), 0);
-  EXPECT_FALSE(Forwards("req-newcomer", 0, 1));  // the team's reservations are used up
+  EXPECT_FALSE(Forwards("req-newcomer", 0, 1));  // the team has used all its reservations
   EXPECT_TRUE(Forwards("req-other", 1, 1));
   EXPECT_TRUE(Forwards("req-accepted", 0, 1));
   EXPECT_TRUE(Forwards("req-recorded", 0, 1));
   EXPECT_TRUE(Forwards("req-20", 0, 1));
-  // Refused by the leader, it is refused here until the time that was named.
+  // After a refusal by the leader, the follower refuses the id until the retry time.
   gate_.OnRefused("req-20", 7, 1);
-  const auto verdict = gate_.Decide({"req-20", Team(0), kStandard, 2}, 1.2);
-  EXPECT_FALSE(verdict.forward);
-  EXPECT_EQ(verdict.retry_after_s, 7);
+  const auto decision = gate_.Decide({"req-20", Team(0), kStandard, 2}, 1.2);
+  EXPECT_FALSE(decision.forward);
+  EXPECT_EQ(decision.retry_after_s, 7);
   gate_.OnLeaderAnnouncement(3, FloodedGrant(), 8);
   EXPECT_TRUE(Forwards("req-20", 0, 8));
-  // Accepted through another node meanwhile: the refusal here no longer stands.
+  // A job that is accepted is forwarded even after a refusal: its user may have submitted it
+  // through another node.
   gate_.OnRefused("req-accepted", 7, 8);
   EXPECT_TRUE(Forwards("req-accepted", 0, 8));
 }
@@ -75,18 +77,18 @@
   uint64_t forwarded = 0;
   for (int i = 0; i < 500; ++i) forwarded += Forwards("req-x" + std::to_string(i), 1, 1) ? 1 : 0;
   EXPECT_GE(forwarded, credits);
-  EXPECT_LE(forwarded, credits + 10);  // false positives of the filters
+  EXPECT_LE(forwarded, credits + 10);  // plus false positives of the filters
   EXPECT_FALSE(Forwards("req-last", 1, 1.4));
   EXPECT_TRUE(Forwards("req-last", 1, 1.6));  // the grant has expired
 }
 
-TEST_F(CreditGateTest, ChangesNothingWhenAGrantIsOfAnOlderTermOrAnotherFormat) {
+TEST_F(CreditGateTest, IgnoresAGrantWhenItIsOfAnOlderTermOrMalformed) {
   gate_.OnLeaderAnnouncement(5, FloodedGrant(), 0);
   gate_.OnLeaderAnnouncement(4, std::nullopt, 0.1);
   EXPECT_FALSE(Forwards("req-newcomer", 0, 1));
-  wire::CreditGrant broken = FloodedGrant();
-  broken.reservations = "not hexadecimal";
-  gate_.OnLeaderAnnouncement(6, broken, 1);
+  wire::CreditGrant malformed = FloodedGrant();
+  malformed.reservations = "not hexadecimal";
+  gate_.OnLeaderAnnouncement(6, malformed, 1);
   EXPECT_FALSE(Forwards("req-newcomer", 0, 1.2) && Forwards("req-newcomer-2", 0, 1.2));
 }
 
--- a/tests/admission/fair_queue_test.cc
+++ b/tests/admission/fair_queue_test.cc
@@ -13,6 +13,7 @@
 namespace zinclead::admission {
 namespace {
 
+// Guards against service that deviates from the teams' weights by more than one round.
 RC_GTEST_PROP(FairQueue, ServesTeamsByWeightWhenAllHaveQueues, ()) {
   const auto weights = *rc::gen::container<std::vector<int>>(4, rc::gen::inRange(1, 9));
   const auto costs = *rc::gen::container<std::vector<int>>(600, rc::gen::inRange(1, 6));
@@ -27,15 +28,15 @@
     queue.Push(reservation.get(), weights[i % weights.size()]);
     reservations.push_back(std::move(reservation));
   }
-  const auto all = [](const std::string&) { return true; };
-  // Until the first team's queue is empty.
+  const auto serve_all = [](const std::string&) { return true; };
+  // Serves until the queue of one team is empty.
   while (queue.active_teams() == weights.size()) {
-    Reservation* reservation = queue.Next(all);
-    RC_ASSERT(reservation == queue.Next(all));
+    Reservation* reservation = queue.Next(serve_all);
+    RC_ASSERT(reservation == queue.Next(serve_all));
     queue.PopServed();
     served[reservation->team] += reservation->cost;
     if (queue.active_teams() < weights.size()) break;
-    // Two teams' service by weight differs by no more than a round of each and a job.
+    // The served cost per weight of two teams differs by at most one quantum and one job of each.
     for (size_t a = 0; a < weights.size(); ++a) {
       for (size_t b = 0; b < weights.size(); ++b) {
         const double of_a = served[Team(static_cast<int>(a))] / weights[a];
@@ -55,7 +56,7 @@
   EXPECT_EQ(queue.Next([](const std::string& team) { return team == Team(1); }), &second);
   EXPECT_EQ(queue.Next([](const std::string&) { return false; }), nullptr);
   queue.Remove(&first);
-  queue.Remove(&first);  // not queued any more
+  queue.Remove(&first);  // has no effect: already removed
   EXPECT_EQ(queue.size(), 1U);
   EXPECT_EQ(queue.active_weight(), 1);
 }
--- a/tests/admission/limits_test.cc
+++ b/tests/admission/limits_test.cc
@@ -7,13 +7,14 @@
 namespace zinclead::admission {
 namespace {
 
-TEST(Limits, FollowTheWeightsWhenTeamsAreNamed) {
+TEST(Limits, FollowTheWeightsWhenTheSettingsNameTeams) {
   config::Settings settings = testing::MakeSettings();
   config::OperatorSettings operator_settings;
   operator_settings.admission.fair = 1;
   operator_settings.admission.team_weights["open"] = 3;
   const Limits limits = DeriveLimits(settings, operator_settings);
-  EXPECT_EQ(limits.ReservationCost("open", kProd), 3 * limits.ReservationCost("capped", kProd));
+  EXPECT_EQ(limits.MaxReservationCost("open", kProd),
+            3 * limits.MaxReservationCost("capped", kProd));
   EXPECT_EQ(limits.WeightOf("unknown"), 1);
   double sum = 0;
   for (const double rate : limits.tier_rate) sum += rate;
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -1,6 +1,6 @@
-// What the versions that may run beside this one write, and what they read of this one's records.
-// tests/data/records-COMMIT.json holds records and messages that the core and wire packages of that
-// commit wrote, with 32 KiB to a value.
+// Compatibility with the older versions that may run at the same time as this one, during upgrades.
+// tests/data/records-COMMIT.json contains records and messages that the core and wire packages of
+// that commit wrote, with a limit of 32 KiB per value.
 
 #include <gtest/gtest.h>
 
@@ -14,19 +14,23 @@
 namespace zinclead::core {
 namespace {
 
+// Limit of the state service for a value after it is lowered.
 constexpr double kLoweredKb = 2;
 
+// The contents of the key-value store: records by key.
 using Records = std::map<std::string, wire::Json>;
 
-// An older version of the service, distinguished by the largest chunk of progress that it writes.
+// An older version of the service. The tests simulate its leaders by the size of its progress
+// chunks.
 struct OldVersion {
   const char* commit;
-  // The limit for a value with which this version's chunks are as large.
+  // Value limit with which this version writes chunks of the older version's size.
   double value_kb;
 };
 void PrintTo(const OldVersion& version, std::ostream* out) { *out << version.commit; }
 constexpr OldVersion kOldVersions[] = {{"4ba1318", 64}, {"427e9d2", 32}};
 
+// The test data that the version wrote.
 wire::Json Fixture(const OldVersion& version) {
   std::ifstream file(std::string(ZINCLEAD_TEST_DATA) + "/records-" + version.commit + ".json");
   return wire::Json::parse(file);
@@ -40,6 +44,7 @@
   settings.state_value_kb = value_kb;
   return settings;
 }
+// A new leader that has loaded the records.
 std::unique_ptr<Cluster> Leader(const Records& records, double value_kb, uint64_t term,
                                 double now = 200) {
   auto cluster = std::make_unique<Cluster>(WithLimit(value_kb), config::OperatorSettings(), term,
@@ -48,10 +53,11 @@
   cluster->FinishLoading(now);
   return cluster;
 }
+// Number of the job's finished tasks that a new leader with this value limit finds.
 uint32_t DoneIn(const Records& records, const std::string& job, double value_kb) {
   return Leader(records, value_kb, 9)->View(job)->done;
 }
-// Stores one record. Returns false if the state service refuses it for its size.
+// Writes one queued record. Returns false if the record exceeds the state service's value limit.
 bool StoreOne(Cluster* cluster, Records* records, double limit_kb, double now) {
   const std::string key = cluster->DequeueRecords(1).at(0);
   const std::optional<wire::Json> value = cluster->Serialize(key);
@@ -72,7 +78,7 @@
 INSTANTIATE_TEST_SUITE_P(Commits, OlderVersion, ::testing::ValuesIn(kOldVersions),
                          [](const auto& param) { return param.param.commit; });
 
-TEST_P(OlderVersion, RecordsAreUnderstood) {
+TEST_P(OlderVersion, RecordsAreLoaded) {
   const auto leader = Leader(FixtureRecords(GetParam()), kLoweredKb, 4);
   EXPECT_EQ(leader->View("req-000001")->done, 300U);
   EXPECT_EQ(leader->View("req-000002")->phase, wire::JobPhase::kPending);
@@ -86,20 +92,21 @@
   EXPECT_TRUE(leader->HasMachineTypes());
 }
 
-// Written as the older version does, this version's records are the same byte for byte: the
-// histories below may stand for an older leader by its chunk size alone.
-TEST_P(OlderVersion, RecordsAreWrittenAlike) {
+// With the older version's chunk size, this version writes the same bytes. The tests below rely on
+// this: they simulate an older leader by its chunk size.
+TEST_P(OlderVersion, RecordsAreWrittenWithTheSameBytes) {
   const Records records = FixtureRecords(GetParam());
   const auto leader = Leader(records, GetParam().value_kb, 4, 100.9);
   for (const auto& [key, value] : records) {
-    if (value.contains("final") && value["final"] == "done") continue;  // never written again
-    const auto in_flight = leader->Serialize(key);
-    ASSERT_TRUE(in_flight.has_value()) << key;
-    EXPECT_EQ(*in_flight, value) << key;
+    // Records of finished jobs are never written again.
+    if (value.contains("final") && value["final"] == "done") continue;
+    const auto serialized = leader->Serialize(key);
+    ASSERT_TRUE(serialized.has_value()) << key;
+    EXPECT_EQ(*serialized, value) << key;
   }
 }
 
-TEST_P(OlderVersion, MessagesAreUnderstoodAndWrittenAlike) {
+TEST_P(OlderVersion, MessagesAreParsedAndWrittenWithTheSameBytes) {
   const wire::Json fixture = Fixture(GetParam());
   const auto heartbeat = wire::ParseHeartbeat(fixture["report"].dump());
   ASSERT_TRUE(heartbeat.has_value()) << heartbeat.error().ToString();
@@ -114,23 +121,23 @@
   ASSERT_TRUE(notice.has_value());
   EXPECT_EQ(wire::ToJson(*notice), fixture["notice"]);
   std::vector<wire::Command> commands;
-  for (const wire::Json& order : fixture["commands"]["orders"]) {
+  for (const wire::Json& command : fixture["commands"]["orders"]) {
     commands.push_back({wire::CommandOp::kStart,
-                        *wire::ParseTaskName(order["shard"].get<std::string>()), order["strike"],
-                        0});
+                        *wire::ParseTaskName(command["shard"].get<std::string>()),
+                        command["strike"], 0});
   }
   EXPECT_EQ(wire::Json::parse(wire::CommandsBody(3, commands)), fixture["commands"]);
 }
 
-// Whoever leads after any of the steps, and however large its own chunks are, finds all that was
-// done; and in the end each record is within the lowered limit.
+// A leader of any chunk size that takes over after any write finds all finished tasks. At the end,
+// each record is within the lowered limit.
 TEST_P(OlderVersion, LargeProgressRecordsAreSplitWithoutLoss) {
   Records records = FixtureRecords(GetParam());
   const auto leader = Leader(records, kLoweredKb, 4);
   int steps = 0;
   while (leader->HasQueuedRecords()) {
     ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 200));
-    ASSERT_LT(++steps, 1000) << "writes without an end";
+    ASSERT_LT(++steps, 1000) << "the leader does not stop writing";
     for (const double reader_kb : {64.0, 32.0, kLoweredKb}) {
       ASSERT_EQ(DoneIn(records, "req-000001", reader_kb), 300U) << "after write " << steps;
       ASSERT_EQ(DoneIn(records, "req-000006", reader_kb), 60U) << "after write " << steps;
@@ -144,8 +151,8 @@
   }
 }
 
-// A job whose progress fits no single record keeps its chunks. Each then holds as much as fits, and
-// what a record has shown once stays in it.
+// A job's chunks can't be split if a single record can't hold the job's progress. Each chunk then
+// stores as many finished tasks as fit, and keeps those that are stored already.
 TEST_P(OlderVersion, ProgressThatCannotBeSplitIsStoredInPart) {
   Records records;
   wire::JobSpec spec = testing::MakeJob("req-1", 9000);
@@ -164,12 +171,12 @@
   heartbeat.zone = "a";
   heartbeat.agent_epoch = 1;
   heartbeat.fencing_token = 4;
-  for (int seen = 0; seen < 2; ++seen) {
+  for (int round = 0; round < 2; ++round) {
     ++heartbeat.sequence;
-    leader->OnHeartbeat(heartbeat, 201 + seen);
+    leader->OnHeartbeat(heartbeat, 201 + round);
     while (leader->HasQueuedRecords()) StoreOne(leader.get(), &records, kLoweredKb, 202);
   }
-  // Of the first chunk every second task has ended: over 4 KiB as text.
+  // Every second task of the first chunk has ended, which takes more than 4 KiB of text.
   for (uint32_t i = 0; i < 2000; i += 2) {
     heartbeat.tasks.push_back(
         {{"req-1", i}, MakeAttempt(3, i), wire::TaskPhase::kEnded, wire::EndCause::kDone, false});
@@ -180,8 +187,8 @@
   EXPECT_GE(DoneIn(records, "req-1", GetParam().value_kb), 400U + 300U);
 }
 
-// An older version accepts descriptions that take a quarter of its value; the cancellation of such
-// a job must be stored all the same, and count what may be left of it.
+// An older version accepts job descriptions of up to a quarter of its value limit. The cancellation
+// of such a job must be stored within the lowered limit, with the resources of its tasks.
 TEST_P(OlderVersion, CancellationOfALongDescriptionFits) {
   Records records = FixtureRecords(GetParam());
   wire::JobSpec spec = testing::MakeJob("req-000009", 4);
@@ -193,14 +200,14 @@
   ASSERT_EQ(leader->Cancel("req-000009"), CancelOutcome::kPendingStore);
   ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 200));
   EXPECT_EQ(leader->View("req-000009")->phase, wire::JobPhase::kCancelled);
-  const auto next = Leader(records, GetParam().value_kb, 5);
-  EXPECT_EQ(next->View("req-000009")->phase, wire::JobPhase::kCancelled);
-  EXPECT_EQ(next->jobs().at("req-000009")->spec.cpus, spec.cpus);
+  const auto next_leader = Leader(records, GetParam().value_kb, 5);
+  EXPECT_EQ(next_leader->View("req-000009")->phase, wire::JobPhase::kCancelled);
+  EXPECT_EQ(next_leader->jobs().at("req-000009")->spec.cpus, spec.cpus);
 }
 
-// A job whose tasks end in any order under leaders of both formats, each of which may end at any
-// moment, while the state service's limit falls: what was stored once stays, no completion that
-// was acknowledged to a worker is lost, and in the end the job is done.
+// Runs a job whose tasks end in random order. Leaders of both formats replace each other at random
+// times, and the state service lowers its value limit. Checks that no completion that was stored or
+// acknowledged to a worker is lost, that no completed task starts again, and that the job finishes.
 class MixedHistory {
  public:
   explicit MixedHistory(uint32_t seed) : random_(seed), tasks_(1 + random_() % 3000) {}
@@ -211,14 +218,15 @@
     spec.cpus = spec.memory_gb = 0.001;
     const SubmitResult result = leader_->Submit(spec, now_, 1000 + now_);
     ASSERT_EQ(result.outcome, SubmitOutcome::kAccepted) << result.reason;
-    for (int step = 0; !Over(); ++step) {
-      ASSERT_LT(step, 5000) << "stalled with " << stored_ << " of " << tasks_ << " stored";
-      if (step == lowered_at_) {
+    for (int step = 0; !IsJobFinal(); ++step) {
+      ASSERT_LT(step, 5000) << "job does not finish: " << stored_completions_ << " of " << tasks_
+                            << " stored";
+      if (step == limit_lowered_at_step_) {
         limit_kb_ = kLoweredKb;
         ++limits_lowered;
       }
-      if (step < kTroubledSteps && stored_job_ && random_() % 12 == 0) NextLeader();
-      if (step == kTroubledSteps && value_kb_ > kLoweredKb) NextLeader(kLoweredKb);
+      if (step < kFaultSteps && is_job_stored_ && random_() % 12 == 0) NextLeader();
+      if (step == kFaultSteps && value_kb_ > kLoweredKb) NextLeader(kLoweredKb);
       if (::testing::Test::HasFatalFailure()) return;
       Heartbeat();
       Store();
@@ -226,37 +234,40 @@
     }
   }
 
+  // Coverage of all scenarios.
   static inline int limits_lowered = 0;
   static inline int old_after_new = 0;
   static inline int new_after_old = 0;
-  static inline int refused = 0;
-  static inline int changes_in_split = 0;
+  static inline int rejected_writes = 0;
+  static inline int failovers_during_split = 0;
 
  private:
-  static constexpr int kTroubledSteps = 150;
+  // Failovers and the lowered limit occur within this number of steps.
+  static constexpr int kFaultSteps = 150;
 
-  bool Over() const {
+  bool IsJobFinal() const {
     const auto view = leader_->View("req-1");
     return view && view->final;
   }
 
+  // Fails over to a leader with this value limit, or a random one if it is 0.
   void NextLeader(double value_kb = 0) {
     if (value_kb == 0) value_kb = std::array{kLoweredKb, 32.0, 64.0}[random_() % 3];
     if (leader_ != nullptr && value_kb_ > kLoweredKb && value_kb == kLoweredKb) ++new_after_old;
     if (leader_ != nullptr && value_kb_ == kLoweredKb && value_kb > kLoweredKb) ++old_after_new;
     if (leader_ != nullptr && leader_->jobs().contains("req-1") &&
         leader_->jobs().at("req-1")->chunk_split != ChunkSplit::kNone) {
-      ++changes_in_split;
+      ++failovers_during_split;
     }
     value_kb_ = value_kb;
     leader_ = Leader(records_, value_kb, ++term_, now_);
     leader_->OnMachineTypes({testing::MakeType("c4", 4, 1.0)});
     if (const auto view = leader_->View("req-1")) {
-      ASSERT_GE(view->done, stored_) << "what was stored is lost";
+      ASSERT_GE(view->done, stored_completions_) << "stored completions are lost";
     }
   }
 
-  // The one machine: some of its tasks have ended since its last heartbeat.
+  // Sends a heartbeat of the only machine, some of whose tasks have ended since the last one.
   void Heartbeat() {
     wire::Heartbeat heartbeat;
     heartbeat.machine = "i-1";
@@ -265,11 +276,11 @@
     heartbeat.agent_epoch = 1;
     heartbeat.sequence = ++sequence_;
     heartbeat.fencing_token = token_;
-    for (auto& [index, task] : listed_) {
+    for (auto& [index, task] : reported_tasks_) {
       if (task.phase == wire::TaskPhase::kRunning && random_() % 60 == 0) {
         task.phase = wire::TaskPhase::kEnded;
         task.cause = wire::EndCause::kDone;
-        ended_.insert(index);
+        ended_tasks_.insert(index);
       }
       heartbeat.tasks.push_back(task);
     }
@@ -278,45 +289,46 @@
     for (const wire::Command& command : result.commands) {
       const uint32_t index = command.task.index;
       if (command.op == wire::CommandOp::kStart) {
-        ASSERT_FALSE(ended_.contains(index)) << "a task that was done starts again: " << index;
-        listed_[index] = {command.task, command.attempt, wire::TaskPhase::kRunning,
-                          wire::EndCause::kNone, false};
+        ASSERT_FALSE(ended_tasks_.contains(index))
+            << "a completed task starts again: index=" << index;
+        reported_tasks_[index] = {command.task, command.attempt, wire::TaskPhase::kRunning,
+                                  wire::EndCause::kNone, false};
       } else if (command.op == wire::CommandOp::kAcknowledgeCompletion) {
-        listed_.erase(index);
-      } else if (listed_.contains(index)) {
-        listed_[index].phase = wire::TaskPhase::kEnded;
-        listed_[index].cause = wire::EndCause::kStopped;
+        reported_tasks_.erase(index);
+      } else if (reported_tasks_.contains(index)) {
+        reported_tasks_[index].phase = wire::TaskPhase::kEnded;
+        reported_tasks_[index].cause = wire::EndCause::kStopped;
       }
     }
   }
 
   void Store() {
-    // Now and then the first record waits and another one goes ahead of it.
-    std::vector<std::string> waiting;
-    if (random_() % 3 == 0) waiting = leader_->DequeueRecords(1);
-    for (int left = static_cast<int>(random_() % 4); left > 0 && leader_->HasQueuedRecords();
-         --left) {
-      if (!StoreOne(leader_.get(), &records_, limit_kb_, now_)) ++refused;
+    // Sometimes the first record is delayed and others are written before it.
+    std::vector<std::string> delayed;
+    if (random_() % 3 == 0) delayed = leader_->DequeueRecords(1);
+    for (int writes = static_cast<int>(random_() % 4); writes > 0 && leader_->HasQueuedRecords();
+         --writes) {
+      if (!StoreOne(leader_.get(), &records_, limit_kb_, now_)) ++rejected_writes;
     }
-    for (const std::string& key : waiting) leader_->Requeue(key);
+    for (const std::string& key : delayed) leader_->Requeue(key);
     const auto view = leader_->View("req-1");
-    stored_job_ = view && view->stored;
-    if (stored_job_) stored_ = std::max(stored_, view->done);
+    is_job_stored_ = view && view->stored;
+    if (is_job_stored_) stored_completions_ = std::max(stored_completions_, view->done);
   }
 
   std::mt19937 random_;
   const uint32_t tasks_;
-  const int lowered_at_ = static_cast<int>(random_() % (kTroubledSteps / 3));
+  const int limit_lowered_at_step_ = static_cast<int>(random_() % (kFaultSteps / 3));
   double limit_kb_ = 64;
   double value_kb_ = 0;
   double now_ = 100;
   uint64_t term_ = 0, token_ = 0, sequence_ = 0;
-  uint32_t stored_ = 0;
-  bool stored_job_ = false;
+  uint32_t stored_completions_ = 0;
+  bool is_job_stored_ = false;
   Records records_;
   std::unique_ptr<Cluster> leader_;
-  std::map<uint32_t, wire::TaskStatus> listed_;
-  std::set<uint32_t> ended_;
+  std::map<uint32_t, wire::TaskStatus> reported_tasks_;
+  std::set<uint32_t> ended_tasks_;
 };
 
 TEST(MixedVersions, ProgressSurvivesLeadersOfBothFormatsAndLoweredLimits) {
@@ -328,8 +340,8 @@
   EXPECT_GT(MixedHistory::limits_lowered, 50);
   EXPECT_GT(MixedHistory::old_after_new, 30);
   EXPECT_GT(MixedHistory::new_after_old, 30);
-  EXPECT_GT(MixedHistory::changes_in_split, 10);
-  EXPECT_GT(MixedHistory::refused, 10);
+  EXPECT_GT(MixedHistory::failovers_during_split, 10);
+  EXPECT_GT(MixedHistory::rejected_writes, 10);
 }
 
 }  // namespace
--- a/tests/config/operator_settings_test.cc
+++ b/tests/config/operator_settings_test.cc
@@ -8,7 +8,7 @@
 namespace zinclead::config {
 namespace {
 
-TEST(OperatorSettings, KeepDefaultsWhenNotNamed) {
+TEST(OperatorSettings, KeepDefaultsWhenMissing) {
   const auto defaults = ParseOperatorSettings("<zinclead/>");
   ASSERT_TRUE(defaults) << defaults.error().ToString();
   EXPECT_EQ(defaults->retry_s, OperatorSettings().retry_s);
@@ -30,7 +30,7 @@
   EXPECT_EQ(settings->admission.team_weights.at("a"), 2.5);
 }
 
-// The names in the operators' file must never change.
+// Existing operators' files use these names, so they must not change.
 TEST(OperatorSettings, AreReadUnderEachName) {
   const auto settings = ParseOperatorSettings(
       "<zinclead>"
@@ -78,7 +78,7 @@
        "<zinclead><admission><team name='a'/></admission></zinclead>"},
       {"admission/team \"a\": weight",
        "<zinclead><admission><team name='a' weight='101'/></admission></zinclead>"},
-      {"admission/team \"a\" is there twice",
+      {"admission/team \"a\" is defined more than once",
        "<zinclead><admission><team name='a' weight='1'/><team name='a' weight='1'/></admission>"
        "</zinclead>"},
   };
--- a/tests/config/settings_test.cc
+++ b/tests/config/settings_test.cc
@@ -8,7 +8,7 @@
 namespace zinclead::config {
 namespace {
 
-const char kGood[] = R"(
+const char kValidSettings[] = R"(
 node = "n0"
 zone = "a"
 listen = "10.0.0.1:8080"
@@ -47,14 +47,15 @@
 sockets = 1800
 )";
 
-std::string Replaced(const std::string& from, const std::string& to) {
-  std::string text = kGood;
-  text.replace(text.find(from), from.size(), to);
+// Returns the valid settings with the first `old_text` replaced.
+std::string Replaced(const std::string& old_text, const std::string& new_text) {
+  std::string text = kValidSettings;
+  text.replace(text.find(old_text), old_text.size(), new_text);
   return text;
 }
 
 TEST(Settings, AreReadWhenThePlatformsFileIsValid) {
-  const auto settings = ParseSettings(kGood);
+  const auto settings = ParseSettings(kValidSettings);
   ASSERT_TRUE(settings) << settings.error().ToString();
   EXPECT_EQ(settings->peers.at(0).address.ToString(), "10.0.0.2:8081");
   EXPECT_EQ(settings->FindTeam("t")->cpus_max, 2.0);
@@ -63,7 +64,7 @@
 }
 
 TEST(Settings, AcceptObjectivesWhenTheirKindIsUnknown) {
-  const auto settings = ParseSettings(std::string(kGood) + R"(
+  const auto settings = ParseSettings(std::string(kValidSettings) + R"(
 [[settings.objectives]]
 kind = "wait"
 class = "train"
@@ -86,11 +87,12 @@
   EXPECT_EQ(settings->objectives[3].kind, ObjectiveKind::kOther);
 }
 
-// What the state service will allow from some moment on holds from the start, where it is less.
-TEST(Settings, KeepTheTighterLimitsWhenTheStateServicesLimitsWillChange) {
-  const std::string next =
+// Guards against requests that exceed the state service's next limits after it switches to them
+// without notice.
+TEST(Settings, KeepTheLowerLimitsWhenTheStateServicesLimitsWillChange) {
+  const std::string next_limits =
       "txn_ops = 8\n[settings.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 40\n";
-  const auto settings = ParseSettings(Replaced("txn_ops = 8\n", next));
+  const auto settings = ParseSettings(Replaced("txn_ops = 8\n", next_limits));
   ASSERT_TRUE(settings) << settings.error().ToString();
   EXPECT_EQ(settings->state_rps, 150);
   EXPECT_EQ(settings->state_write_rps, 15);
@@ -120,7 +122,7 @@
     const auto settings = ParseSettings(Replaced(change.first, change.second));
     ASSERT_FALSE(settings) << field;
     const std::string error = settings.error().ToString();
-    EXPECT_EQ(error.rfind(field, 0), 0U) << field << " against: " << error;
+    EXPECT_EQ(error.rfind(field, 0), 0U) << field << " is expected in the error: " << error;
     EXPECT_EQ(error.find('\n'), std::string::npos);
   }
 }
@@ -149,7 +151,7 @@
   EXPECT_EQ(settings.error().ToString(), path + ": settings.state.rps must be more than 0");
 }
 
-TEST(Endpoint, IsRefusedWhenItIsNotAnIpv4AddressAndPort) {
+TEST(Endpoint, IsInvalidWhenItIsNotAnIpv4AddressAndPort) {
   EXPECT_EQ(ParseEndpoint("10.0.0.1:8080"), (Endpoint{"10.0.0.1", 8080}));
   EXPECT_EQ(ParseEndpoint("10.0.0.1:65535"), (Endpoint{"10.0.0.1", 65535}));
   for (const char* text :
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -1,4 +1,4 @@
-// Settings and jobs that the tests share.
+// Settings, jobs and machine types that the tests share.
 #ifndef ZINCLEAD_TESTS_FIXTURES_H_
 #define ZINCLEAD_TESTS_FIXTURES_H_
 
@@ -10,6 +10,9 @@
 
 namespace zinclead::testing {
 
+// Valid settings with three zones, a team without a limit ("open") and one that is limited to 8
+// CPUs
+// ("capped").
 inline config::Settings MakeSettings() {
   config::Settings settings;
   settings.node = "n0";
@@ -36,6 +39,7 @@
   return settings;
 }
 
+// A job array of the team "open" with one CPU per task.
 inline wire::JobSpec MakeJob(const std::string& id, uint32_t tasks = 1) {
   wire::JobSpec spec;
   spec.id = id;
@@ -50,6 +54,7 @@
   return spec;
 }
 
+// A machine type that all three zones offer.
 inline wire::MachineType MakeType(const std::string& name, double cpus, double price) {
   wire::MachineType type;
   type.name = name;
--- a/tests/wire/arbitrary_text_test.cc
+++ b/tests/wire/arbitrary_text_test.cc
@@ -7,13 +7,14 @@
 namespace zinclead::wire {
 namespace {
 
-// Any text at all from the other components is refused or understood, never a crash.
-RC_GTEST_PROP(Parsers, EndSafelyWhenTheTextIsArbitrary, ()) {
+// Guards against crashes on malformed messages of other components: parsers accept or reject any
+// text.
+RC_GTEST_PROP(Parsers, DoNotCrashWhenTheTextIsArbitrary, ()) {
   const std::string text = *rc::gen::arbitrary<std::string>();
-  const Json shaped{{*rc::gen::element<std::string>("alloys", "anvils", "entries", "ledger"),
-                     *rc::gen::element<Json>(Json(text), Json::array({1}), Json(3), Json())}};
+  const Json plausible{{*rc::gen::element<std::string>("alloys", "anvils", "entries", "ledger"),
+                        *rc::gen::element<Json>(Json(text), Json::array({1}), Json(3), Json())}};
   for (const std::string& body :
-       {text, shaped.dump(-1, ' ', false, Json::error_handler_t::replace)}) {
+       {text, plausible.dump(-1, ' ', false, Json::error_handler_t::replace)}) {
     (void)ParseHeartbeat(body);
     (void)ParseMachineTypes(body);
     (void)ParseScaleOutResponse(body);
--- a/tests/wire/field_names_test.cc
+++ b/tests/wire/field_names_test.cc
@@ -1,5 +1,5 @@
-// The exact bytes of each message, as PROTOCOL writes it: the names of fields and the words for
-// enumerations must never change. Objects are written with their fields in alphabetical order.
+// Checks the exact bytes of each message against PROTOCOL. Guards against changes to the names of
+// fields and the words for enumerators. Serialized objects have their fields in alphabetical order.
 
 #include "wire/field_names.h"
 
@@ -11,7 +11,7 @@
 namespace zinclead::wire {
 namespace {
 
-TEST(UserApiBytes, AreTheProtocolsWhenASubmissionIsSerialized) {
+TEST(UserApiBytes, MatchProtocolWhenASubmissionIsSerialized) {
   JobSpec spec;
   spec.id = "req-000412";
   spec.job_class = "train";
@@ -39,7 +39,7 @@
             R"("temperS":30.0,"uid":"req-000412","vcpus":8.0,"yard":"a"})");
 }
 
-TEST(UserApiBytes, AreTheProtocolsWhenAJobIsAnswered) {
+TEST(UserApiBytes, MatchProtocolWhenAResponseIsSerialized) {
   EXPECT_EQ(JobStatusBody("req-1", JobPhase::kPending), R"({"phase":"pending","uid":"req-1"})");
   EXPECT_EQ(JobStatusBody("req-1", JobPhase::kDone), R"({"phase":"done","uid":"req-1"})");
   EXPECT_EQ(JobStatusBody("req-1", JobPhase::kCancelled), R"({"phase":"cancelled","uid":"req-1"})");
@@ -48,21 +48,21 @@
   EXPECT_EQ(ErrorBody("not \xff it"), "{\"error\":\"not \xef\xbf\xbd it\"}");
 }
 
-TEST(UserApiBytes, AreTheProtocolsForEachKindAndPriority) {
-  const auto words_of = [](JobKind kind, Priority priority) {
+TEST(UserApiBytes, MatchProtocolForEachKindAndPriority) {
+  const auto labels_of = [](JobKind kind, Priority priority) {
     JobSpec spec;
     spec.kind = kind;
     spec.priority = priority;
     const Json json = ToJson(spec);
     return json["shape"].get<std::string>() + " " + json["rank"].get<std::string>();
   };
-  EXPECT_EQ(words_of(JobKind::kArray, Priority::kProduction), "sweep prod");
-  EXPECT_EQ(words_of(JobKind::kGang, Priority::kHigh), "group high");
-  EXPECT_EQ(words_of(JobKind::kService, Priority::kNormal), "daemon standard");
-  EXPECT_EQ(words_of(JobKind::kService, Priority::kLow), "daemon best_effort");
+  EXPECT_EQ(labels_of(JobKind::kArray, Priority::kProduction), "sweep prod");
+  EXPECT_EQ(labels_of(JobKind::kGang, Priority::kHigh), "group high");
+  EXPECT_EQ(labels_of(JobKind::kService, Priority::kNormal), "daemon standard");
+  EXPECT_EQ(labels_of(JobKind::kService, Priority::kLow), "daemon best_effort");
 }
 
-TEST(WorkerApiBytes, AreTheProtocolsWhenAHeartbeatIsSerialized) {
+TEST(WorkerApiBytes, MatchProtocolWhenAHeartbeatIsSerialized) {
   Heartbeat heartbeat;
   heartbeat.machine = "i-000231";
   heartbeat.address = "10.1.0.232:9000";
@@ -86,28 +86,28 @@
   EXPECT_EQ(ToJson(heartbeat)["recallS"], 12.5);
 }
 
-TEST(WorkerApiBytes, AreTheProtocolsForEachPhaseAndCause) {
-  const auto words_of = [](TaskPhase phase, EndCause cause) {
+TEST(WorkerApiBytes, MatchProtocolForEachPhaseAndCause) {
+  const auto labels_of = [](TaskPhase phase, EndCause cause) {
     Heartbeat heartbeat;
     heartbeat.tasks.push_back({{"req-1", 0}, 1, phase, cause, false});
     const Json task = ToJson(heartbeat)["shards"][0];
     return task["phase"].get<std::string>() + " " + task.value("cause", std::string("-"));
   };
-  EXPECT_EQ(words_of(TaskPhase::kFetching, EndCause::kNone), "fetching -");
-  EXPECT_EQ(words_of(TaskPhase::kWaiting, EndCause::kNone), "waiting -");
-  EXPECT_EQ(words_of(TaskPhase::kRunning, EndCause::kNone), "running -");
-  EXPECT_EQ(words_of(TaskPhase::kSaving, EndCause::kNone), "saving -");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kDone), "ended done");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kStopped), "ended halted");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kError), "ended error");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kInsufficientCapacity), "ended no_room");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kConflict), "ended in_use");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kUnknownTask), "ended no_such");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kPeers), "ended peers");
-  EXPECT_EQ(words_of(TaskPhase::kEnded, EndCause::kIncomplete), "ended incomplete");
+  EXPECT_EQ(labels_of(TaskPhase::kFetching, EndCause::kNone), "fetching -");
+  EXPECT_EQ(labels_of(TaskPhase::kWaiting, EndCause::kNone), "waiting -");
+  EXPECT_EQ(labels_of(TaskPhase::kRunning, EndCause::kNone), "running -");
+  EXPECT_EQ(labels_of(TaskPhase::kSaving, EndCause::kNone), "saving -");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kDone), "ended done");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kStopped), "ended halted");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kError), "ended error");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kInsufficientCapacity), "ended no_room");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kConflict), "ended in_use");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kUnknownTask), "ended no_such");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kPeers), "ended peers");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kIncomplete), "ended incomplete");
 }
 
-TEST(WorkerApiBytes, AreTheProtocolsWhenCommandsAreSent) {
+TEST(WorkerApiBytes, MatchProtocolWhenCommandsAreSerialized) {
   const std::vector<Command> commands = {
       {CommandOp::kStart, {"req-000412", 4}, 2, 0},
       {CommandOp::kStop, {"req-000377", 1}, 1, 10},
@@ -120,12 +120,12 @@
   EXPECT_EQ(CommandsBody(41, {}, 7), R"({"heat":7,"mandate":41,"orders":[]})");
 }
 
-TEST(WorkerApiBytes, AreTheProtocolsWhenAWorkerIsRedirected) {
+TEST(WorkerApiBytes, MatchProtocolWhenAWorkerIsRedirected) {
   EXPECT_EQ(RedirectBody("anvil-2"), R"({"foreman":"anvil-2"})");
   EXPECT_EQ(RedirectBody(""), "{}");
 }
 
-TEST(CloudApiBytes, AreTheProtocolsWhenMachinesAreRequestedOrDeleted) {
+TEST(CloudApiBytes, MatchProtocolWhenMachinesAreRequestedOrDeleted) {
   EXPECT_EQ(ScaleOutBody({"r-1", "g8", "a", true, 3}),
             R"({"alloy":"g8","hire":"r-1","howMany":3,"scrap":true,"yard":"a"})");
   EXPECT_EQ(DeleteBody({"i-1", "i-2"}), R"({"anvils":["i-1","i-2"]})");
@@ -133,7 +133,7 @@
   EXPECT_EQ(MachineListPath("i 1", 500), "/hosts?most=500&from=i%201");
 }
 
-TEST(CloudApiBytes, AreTheProtocolsWhenAMachineTypeIsRecorded) {
+TEST(CloudApiBytes, MatchProtocolWhenAMachineTypeIsSerialized) {
   const MachineType type{"g8", 64, 8, 512, 100, 0.5, 20, 8, 60, {"a", "b"}};
   EXPECT_EQ(ToJson(type).dump(),
             R"({"bootS":60.0,"fetchGbPerS":0.5,"gpus":8.0,"localGb":100.0,"name":"g8",)"
@@ -143,7 +143,7 @@
   EXPECT_EQ(ToJson(types->at(0)), ToJson(type));
 }
 
-TEST(CloudApiBytes, AreReadWhenTheCloudAnswers) {
+TEST(CloudApiBytes, AreParsedInResponsesOfTheCloud) {
   const auto machines = ParseScaleOutResponse(R"({"anvils":["i-1","i-2"]})");
   ASSERT_TRUE(machines);
   EXPECT_EQ(*machines, (std::vector<std::string>{"i-1", "i-2"}));
@@ -162,7 +162,7 @@
   EXPECT_FALSE(IsNoCapacity(R"({"error":"down"})"));
 }
 
-TEST(StoreApiBytes, AreTheProtocolsWhenRequestsAreSent) {
+TEST(StoreApiBytes, MatchProtocolWhenRequestsAreSerialized) {
   const std::vector<VersionPrecondition> conditions = {{"c/leader", 3}};
   const std::vector<StoreWrite> writes = {
       {"c/a", Json{{"x", 1}}, 7}, {"c/b", Json("y"), std::nullopt}, {"c/c", {}, {}}};
@@ -179,7 +179,7 @@
   EXPECT_EQ(LeaseRenewPath(7), "/grants/7/touch");
 }
 
-TEST(StoreApiBytes, AreReadWhenTheStateServiceAnswers) {
+TEST(StoreApiBytes, AreParsedInResponsesOfTheStateService) {
   const auto item = ParseStoreItem(R"({"path":"c/a","value":null,"stamp":9})");
   ASSERT_TRUE(item) << item.error().ToString();
   EXPECT_EQ(item->key, "c/a");
--- a/tests/wire/user_api_test.cc
+++ b/tests/wire/user_api_test.cc
@@ -8,6 +8,7 @@
 namespace zinclead::wire {
 namespace {
 
+// Generates valid jobs.
 rc::Gen<JobSpec> AnyJob() {
   return rc::gen::exec([] {
     JobSpec spec = testing::MakeJob("req-" + std::to_string(*rc::gen::inRange(0, 1'000'000)));
@@ -36,26 +37,26 @@
   RC_ASSERT(*parsed == spec);
 }
 
-// A field that is missing, null or of another type makes a submission malformed, except that the
-// three optional fields may be null or missing. Nothing crashes.
-RC_GTEST_PROP(Submission, IsRefusedWhenAFieldIsDamaged, ()) {
-  const Json good = ToJson(*AnyJob());
+// A field that is missing, null or of the wrong type makes a submission invalid, except that the
+// three optional fields may be missing or null. Guards also against crashes.
+RC_GTEST_PROP(Submission, IsRejectedWhenAFieldIsInvalid, ()) {
+  const Json valid = ToJson(*AnyJob());
   const std::vector<std::string> fields = {"uid",    "lane",    "crew",    "shape",     "rank",
                                            "shards", "vcpus",   "gpus",    "ramGb",     "cast",
                                            "pullGb", "alloys",  "yard",    "samePlace", "apart",
                                            "scrap",  "reckonS", "temperS", "quenchS",   "dueS"};
   const std::string field = *rc::gen::elementOf(fields);
   const bool optional = field == "alloys" || field == "yard" || field == "dueS";
-  const Json damage = *rc::gen::element<Json>(Json(nullptr), Json::object(), Json(-1.5),
-                                              Json::array({1}), Json("erase"));
-  Json bad = good;
-  if (damage == "erase") {
-    bad.erase(field);
+  const Json new_value = *rc::gen::element<Json>(Json(nullptr), Json::object(), Json(-1.5),
+                                                 Json::array({1}), Json("erase"));
+  Json modified = valid;
+  if (new_value == "erase") {
+    modified.erase(field);
   } else {
-    bad[field] = damage;
+    modified[field] = new_value;
   }
-  const auto parsed = ParseSubmission(bad.dump());
-  if (optional && (damage.is_null() || damage == "erase")) {
+  const auto parsed = ParseSubmission(modified.dump());
+  if (optional && (new_value.is_null() || new_value == "erase")) {
     RC_ASSERT(parsed.has_value());
   } else {
     RC_ASSERT(!parsed.has_value());
@@ -63,7 +64,7 @@
   }
 }
 
-TEST(Submission, IsRefusedWhenTheBodyIsNotOne) {
+TEST(Submission, IsRejectedWhenTheBodyIsNotASubmission) {
   for (const char* body :
        {"", "{", "[]", "3", "null", "\"req-1\"", "{\"uid\":1e999}", "\xff\xfe"}) {
     EXPECT_FALSE(ParseSubmission(body)) << body;
@@ -83,11 +84,11 @@
 }
 
 TEST(Submission, ErrorNamesTheFieldAndTheReason) {
-  const Json good = ToJson(testing::MakeJob("req-000001"));
+  const Json valid = ToJson(testing::MakeJob("req-000001"));
   const auto error_with = [&](const char* field, const Json& value) {
-    Json bad = good;
-    bad[field] = value;
-    return ParseSubmission(bad.dump()).error().ToString();
+    Json modified = valid;
+    modified[field] = value;
+    return ParseSubmission(modified.dump()).error().ToString();
   };
   EXPECT_EQ(error_with("uid", "job-1"), "uid is not a job id");
   EXPECT_EQ(error_with("uid", std::string(1025, 'x')), "uid is too long");
@@ -108,7 +109,7 @@
             "body is over 64 KiB");
 }
 
-TEST(TaskName, IsRefusedWhenItIsNotInTheProtocolsForm) {
+TEST(TaskName, IsRejectedWhenItDoesNotMatchProtocol) {
   EXPECT_EQ(ParseTaskName("req-000412/3"), (TaskRef{"req-000412", 3}));
   for (const char* name : {"req-000412", "req-000412/", "req-000412/x", "req-000412/-1", "a/1",
                            "req-000412/100000", "req-000412/3/4", "/3"}) {
--- a/tests/wire/worker_api_test.cc
+++ b/tests/wire/worker_api_test.cc
@@ -34,7 +34,7 @@
   RC_ASSERT(ToJson(*parsed) == ToJson(heartbeat));
 }
 
-TEST(Heartbeat, EndsTheTaskWhenTheCauseIsUnknown) {
+TEST(Heartbeat, ReportsTheTaskAsEndedWhenTheCauseIsUnknown) {
   const auto heartbeat = ParseHeartbeat(
       R"({"anvil":"i-1","address":"x","alloy":"g8","yard":"a","scrap":false,"heat":1,"tally":1,
           "mandate":0,"shards":[{"shard":"req-1/0","strike":1,"phase":"ended","cause":"novel"}]})");
@@ -42,9 +42,9 @@
   EXPECT_EQ(heartbeat->tasks[0].cause, EndCause::kOther);
 }
 
-// A word that this version does not know must not cost the heartbeat, and with it the machine's
-// lease.
-TEST(Heartbeat, CountsTheTaskAsRunningWhenThePhaseIsUnknown) {
+// Guards against rejected heartbeats, and thus an expired lease, of a worker that uses a phase of a
+// newer version.
+TEST(Heartbeat, ReportsTheTaskAsRunningWhenThePhaseIsUnknown) {
   const auto heartbeat = ParseHeartbeat(
       R"({"anvil":"i-1","address":"x","alloy":"g8","yard":"a","scrap":false,"heat":1,"tally":1,
           "mandate":0,"shards":[{"shard":"req-1/0","strike":1,"phase":"novel"}]})");
@@ -52,45 +52,45 @@
   EXPECT_EQ(heartbeat->tasks[0].phase, TaskPhase::kRunning);
 }
 
-// A field that is missing, null or of another type makes a heartbeat malformed, and the error names
-// it.
-RC_GTEST_PROP(Heartbeat, IsRefusedWhenAFieldIsDamaged, ()) {
-  Json good = {{"anvil", "i-1"}, {"address", "x"}, {"alloy", "g8"}, {"yard", "a"},
-               {"scrap", false}, {"heat", 1},      {"tally", 1},    {"mandate", 0}};
-  good["shards"] = Json::array({{{"shard", "req-1/0"}, {"strike", 1}, {"phase", "running"}}});
-  RC_ASSERT(ParseHeartbeat(good.dump()).has_value());
+// A required field that is missing, null or of the wrong type makes a heartbeat invalid, and the
+// error names the field.
+RC_GTEST_PROP(Heartbeat, IsRejectedWhenAFieldIsInvalid, ()) {
+  Json valid = {{"anvil", "i-1"}, {"address", "x"}, {"alloy", "g8"}, {"yard", "a"},
+                {"scrap", false}, {"heat", 1},      {"tally", 1},    {"mandate", 0}};
+  valid["shards"] = Json::array({{{"shard", "req-1/0"}, {"strike", 1}, {"phase", "running"}}});
+  RC_ASSERT(ParseHeartbeat(valid.dump()).has_value());
   const std::string field =
       *rc::gen::element<std::string>("anvil", "address", "alloy", "yard", "scrap", "heat", "tally",
                                      "mandate", "shards", "shard", "strike", "phase");
-  const Json damage =
+  const Json new_value =
       *rc::gen::element<Json>(Json(nullptr), Json::object(), Json(-1.5), Json(-1), Json::array({1}),
                               Json::array({Json::array()}), Json("erase"));
-  Json bad = good;
-  Json& target = bad.contains(field) ? bad : bad["shards"][0];
-  if (damage == "erase") {
+  Json modified = valid;
+  Json& target = modified.contains(field) ? modified : modified["shards"][0];
+  if (new_value == "erase") {
     target.erase(field);
   } else {
-    target[field] = damage;
+    target[field] = new_value;
   }
-  const auto parsed = ParseHeartbeat(bad.dump());
+  const auto parsed = ParseHeartbeat(modified.dump());
   RC_ASSERT(!parsed.has_value());
   RC_ASSERT(parsed.error().ToString().find(field) != std::string::npos);
 }
 
-TEST(Heartbeat, IsRefusedWhenTheBodyIsNotOne) {
-  const std::string deep = std::string(10'000, '[') + std::string(10'000, ']');
+TEST(Heartbeat, IsRejectedWhenTheBodyIsNotAHeartbeat) {
+  const std::string nested_arrays = std::string(10'000, '[') + std::string(10'000, ']');
   for (const std::string& body :
        {std::string(), std::string("{"), std::string("[]"), std::string("3"), std::string("null"),
-        std::string("\xff\xfe"), deep, "{\"anvil\":" + deep + "}"}) {
+        std::string("\xff\xfe"), nested_arrays, "{\"anvil\":" + nested_arrays + "}"}) {
     const auto parsed = ParseHeartbeat(body);
     ASSERT_FALSE(parsed) << body.substr(0, 20);
     EXPECT_FALSE(parsed.error().ToString().empty());
   }
 }
 
-// Fields that are not known are skipped, whatever is in them; of a field that comes twice the last
-// counts.
-TEST(Heartbeat, IsReadWhenFieldsAreUnknownOrComeTwice) {
+// Unknown fields are skipped, whatever values they have. If a field occurs twice, the last value is
+// used.
+TEST(Heartbeat, IsParsedWhenFieldsAreUnknownOrOccurTwice) {
   const auto heartbeat = ParseHeartbeat(
       R"({"later":{"anvil":"no","shards":[{"shard":7}]},"anvil":"i-0","address":"x","alloy":"g8",
           "yard":"a","scrap":true,"heat":1,"tally":2,"mandate":3,"recallS":4,"more":[[{}],null],
@@ -109,14 +109,16 @@
 
 TEST(Heartbeat, ErrorNamesTheFieldAndTheReason) {
   const Json task{{"shard", "req-1/0"}, {"strike", 1}, {"phase", "running"}};
-  const Json good{{"anvil", "i-1"}, {"address", "x"}, {"alloy", "g8"},
-                  {"yard", "a"},    {"scrap", false}, {"heat", 1},
-                  {"tally", 1},     {"mandate", 0},   {"shards", Json::array({task})}};
+  const Json valid{{"anvil", "i-1"}, {"address", "x"}, {"alloy", "g8"},
+                   {"yard", "a"},    {"scrap", false}, {"heat", 1},
+                   {"tally", 1},     {"mandate", 0},   {"shards", Json::array({task})}};
   const auto error_with = [&](const char* field, const Json& value) {
-    Json bad = good;
-    Json& target = bad.contains(field) || task.contains(field) == false ? bad : bad["shards"][0];
+    Json modified = valid;
+    Json& target = modified.contains(field) || task.contains(field) == false
+                       ? modified
+                       : modified["shards"][0];
     target[field] = value;
-    return ParseHeartbeat(bad.dump()).error().ToString();
+    return ParseHeartbeat(modified.dump()).error().ToString();
   };
   EXPECT_EQ(error_with("anvil", ""), "anvil is empty or too long");
   EXPECT_EQ(error_with("anvil", nullptr), "anvil is missing");
