--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -122,8 +122,7 @@
     if (team.gpus_max > 0 && team.gpus > team.gpus_max) {
       table.Fail(key::kGpus, "is more than gpus_max");
     }
-    if (settings->FindTeam(team.name) != nullptr)
-      table.Fail(key::kTeamName, "is the name of another team too");
+    if (settings->FindTeam(team.name) != nullptr) table.Fail(key::kTeamName, "is not unique");
     settings->teams.push_back(std::move(team));
   }
 }
