--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -131,7 +131,7 @@
     }
     const auto outcome = names.empty() ? core::Cluster::ScaleOutOutcome::kNoCapacity
                                        : core::Cluster::ScaleOutOutcome::kProvisioned;
-    cluster_->OnScaleOutAnswered(request.name, outcome, names, now_);
+    cluster_->OnScaleOutResponse(request.name, outcome, names, now_);
   }
 }
 
--- a/src/admission/admission_policy.cc
+++ b/src/admission/admission_policy.cc
@@ -69,8 +69,8 @@
 // submission. If the followers divided the capacity, a team whose few submissions reach one
 // follower would be refused while the others have credits to spare.
 std::vector<wire::CreditsByTeam> AdmissionPolicy::CreditsByTier() const {
-  std::vector<wire::CreditsByTeam> credits(kTiers);
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  std::vector<wire::CreditsByTeam> credits(kTierCount);
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     for (const auto& [team, weight] : limits_.team_weight) {
       credits[tier][team] = FreeReservations(team, tier);
     }
@@ -107,7 +107,7 @@
 void AdmissionPolicy::FillBuckets(double now) {
   const double elapsed = std::max(0.0, now - filled_at_);
   filled_at_ = now;
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     tokens_[tier] += limits_.tier_rate[tier] * elapsed;
     const double overflow = tokens_[tier] - limits_.tier_burst[tier];
     if (overflow <= 0) continue;
@@ -131,7 +131,7 @@
 
 void AdmissionPolicy::GrantReservations(double now) {
   const auto has_capacity = [this](const std::string& team) { return active_.HasCapacity(team); };
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     while (unstored_.size() < limits_.max_unstored) {
       Reservation* reservation = queues_[tier].Next(has_capacity);
       if (reservation == nullptr || !TakeTokens(tier, reservation->cost)) break;
@@ -204,7 +204,7 @@
 // Assumes that the same tiers continue to have reservations.
 double AdmissionPolicy::ServiceRate(size_t tier) const {
   double rate = limits_.tier_rate[tier];
-  for (size_t other = 0; other < kTiers; ++other) {
+  for (size_t other = 0; other < kTierCount; ++other) {
     if (other == tier) continue;
     if (queues_[other].empty()) {
       rate += limits_.tier_rate[other];
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -32,7 +32,7 @@
 struct Request {
   std::string id;
   std::string team;
-  size_t tier = 0;  // less than kTiers; see TierOf
+  size_t tier = 0;  // less than kTierCount; see TierOf
   double cost = 0;  // in record writes; see Limits::CostOf
 
   bool operator==(const Request&) const = default;
@@ -129,10 +129,10 @@
   ActiveJobs active_;
   // Contents of the buckets in record writes. A tier's bucket is negative after a job whose cost
   // exceeds the bucket's size.
-  std::array<double, kTiers> tokens_{};
+  std::array<double, kTierCount> tokens_{};
   double common_tokens_ = 0;
   double filled_at_ = 0;  // when the buckets were last filled
-  std::array<FairQueue, kTiers> queues_;
+  std::array<FairQueue, kTierCount> queues_;
   std::unordered_map<std::string, std::unique_ptr<Reservation>> reservations_;
   std::set<std::pair<double, std::string>> expiring_;  // expiry times and ids of the reservations
   std::set<std::string> unstored_;  // ids of admitted jobs whose record is not durable yet
--- a/src/admission/credit_gate.cc
+++ b/src/admission/credit_gate.cc
@@ -27,7 +27,7 @@
 bool CreditGate::ApplyGrant(const wire::CreditGrant& grant) {
   auto reservations = BloomFilter::FromText(grant.reservations);
   auto accepted = BloomFilter::FromText(grant.accepted);
-  if (!reservations || !accepted || grant.by_tier.size() != kTiers) return false;
+  if (!reservations || !accepted || grant.by_tier.size() != kTierCount) return false;
   reservations_ = std::move(*reservations);
   accepted_ = std::move(*accepted);
   credits_ = grant.by_tier;
--- a/src/admission/credit_gate.h
+++ b/src/admission/credit_gate.h
@@ -34,7 +34,7 @@
 
   // Result of Decide.
   struct ForwardDecision {
-    bool forward = false;
+    bool is_forwarded = false;
     int retry_after_s = 0;  // 0 if the submission is forwarded
   };
   // Decides whether to forward the submission. A submission of a new job that is forwarded uses one
--- a/src/admission/limits.cc
+++ b/src/admission/limits.cc
@@ -44,13 +44,13 @@
 
 // Requires that the rate and the team weights of `limits` are set.
 void SetTierLimits(const config::AdmissionSettings& admission_settings, Limits* limits) {
-  const std::array<double, kTiers> weights = {
+  const std::array<double, kTierCount> weights = {
       admission_settings.prod_weight, admission_settings.high_weight,
       admission_settings.standard_weight, admission_settings.best_effort_weight};
   const double weight_sum = std::accumulate(weights.begin(), weights.end(), 0.0);
   const double round_cost =
       limits->total_weight + static_cast<double>(limits->teams) * kRecordsPerJob;
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     const double rate = limits->rate * weights[tier] / weight_sum;
     limits->tier_rate[tier] = rate;
     limits->tier_burst[tier] = std::max(kRecordsPerJob, admission_settings.burst_s * rate);
@@ -87,7 +87,7 @@
 size_t Limits::MaxReservations() const {
   double cost = 0;
   for (const double per_weight : max_reservation_cost_per_weight) cost += per_weight * total_weight;
-  return static_cast<size_t>(cost / kRecordsPerJob) + kTiers * teams;
+  return static_cast<size_t>(cost / kRecordsPerJob) + kTierCount * teams;
 }
 
 double Limits::CostOf(const wire::JobSpec& spec) const {
@@ -128,7 +128,7 @@
   return limits;
 }
 
-std::vector<std::string> Describe(const Limits& limits) {
+std::vector<std::string> DescribeLimits(const Limits& limits) {
   std::vector<std::string> lines;
   lines.push_back(FormatLine("admission: at most %.0f active jobs",
                              static_cast<double>(limits.max_active_jobs)));
@@ -137,7 +137,7 @@
     return lines;
   }
   lines.push_back(FormatLine("admission: %.2f record writes a second for new jobs", limits.rate));
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     std::string line = std::string("admission: ") + TierName(tier);
     line += FormatLine(" is sure of %.2f writes a second", limits.tier_rate[tier]);
     line += FormatLine(", a team of weight 1 holds turns worth %.1f",
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -16,7 +16,7 @@
 namespace zinclead::admission {
 
 // Number of tiers: each priority of the protocol is one.
-inline constexpr size_t kTiers = 4;
+inline constexpr size_t kTierCount = 4;
 
 // Returns the tier of a priority: 0 for production, the highest.
 [[nodiscard]] constexpr size_t TierOf(wire::Priority priority) {
@@ -43,9 +43,9 @@
   // Rate of all tiers together.
   double rate = 0;
   // Rate that is guaranteed to each tier.
-  std::array<double, kTiers> tier_rate{};
+  std::array<double, kTierCount> tier_rate{};
   // Size of each tier's token bucket.
-  std::array<double, kTiers> tier_burst{};
+  std::array<double, kTierCount> tier_burst{};
   // Number of tasks whose progress fits one record.
   double tasks_per_record = 1;
   // Weight of each team within a tier.
@@ -53,7 +53,7 @@
   // Sum of all teams' weights, at least 1.
   double total_weight = 0;
   // Maximum cost of the reservations that a team of weight 1 holds in each tier.
-  std::array<double, kTiers> max_reservation_cost_per_weight{};
+  std::array<double, kTierCount> max_reservation_cost_per_weight{};
   // Time after which a reservation expires if its user does not retry, from the retry time on.
   double reservation_window_s = 0;
   // Maximum number of admitted jobs whose record is not durable yet.
@@ -87,7 +87,7 @@
                                   const config::OperatorSettings& operator_settings);
 
 // Describes the limits for operators, one text line per element.
-[[nodiscard]] std::vector<std::string> Describe(const Limits& limits);
+[[nodiscard]] std::vector<std::string> DescribeLimits(const Limits& limits);
 
 }  // namespace zinclead::admission
 
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -75,7 +75,7 @@
 }
 
 void PrintAdmissionLimits(const Settings& settings, const OperatorSettings& operator_settings) {
-  for (const std::string& line : zinclead::admission::Describe(
+  for (const std::string& line : zinclead::admission::DescribeLimits(
            zinclead::admission::DeriveLimits(settings, operator_settings))) {
     std::cout << line << "\n";
   }
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -102,12 +102,12 @@
   if (response.status != 200) return done(std::nullopt);
   const auto page = wire::ParseMachinePage(response.body);
   // The next page starts after the last id of this one, so only the last page may be empty.
-  if (!page || (page->more && page->machines.empty())) {
+  if (!page || (page->has_more && page->machines.empty())) {
     client_.ReportMalformedResponse("list of machines");
     return done(std::nullopt);
   }
   listed_machines.insert(listed_machines.end(), page->machines.begin(), page->machines.end());
-  if (!page->more) return done(std::move(listed_machines));
+  if (!page->has_more) return done(std::move(listed_machines));
   const std::string last = listed_machines.back().id;
   ListPage(last, std::move(listed_machines), std::move(done));
 }
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -52,8 +52,8 @@
       {"admission", "best-effort-weight", kMinWeight, kMaxWeight, &admission->best_effort_weight},
       {"fleet", "idle-s", 1, kYearS, &settings->idle_s},
       {"fleet", "rent-share", 0.01, 1, &settings->scale_out_rate_share},
-      {"fleet", "boot-give-up", 1, 100, &settings->boot_give_up},
-      {"fleet", "boot-late", 1, 100, &settings->boot_late},
+      {"fleet", "boot-give-up", 1, 100, &settings->boot_timeout_ratio},
+      {"fleet", "boot-late", 1, 100, &settings->late_boot_ratio},
       {"leader", "lease-share", 0.01, 0.25, &settings->leader_lease_share},
   };
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -48,10 +48,11 @@
   // scale_out_rate_share of the cloud's request rate.
   double idle_s = 20;
   double scale_out_rate_share = 0.5;
-  // Ratios to the boot time of the machine type: a machine that is not up after boot_give_up times
-  // that time is scaled in; after boot_late times, it no longer counts as upcoming capacity.
-  double boot_give_up = 4;
-  double boot_late = 1.7;
+  // Ratios to the boot time of the machine type: a machine that is not up after boot_timeout_ratio
+  // times that time is scaled in; after late_boot_ratio times, it no longer counts as upcoming
+  // capacity.
+  double boot_timeout_ratio = 4;
+  double late_boot_ratio = 1.7;
   // Duration of the leader's lease, as a share of Settings::cancel_s.
   double leader_lease_share = 0.04;
 };
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -47,10 +47,10 @@
   bool start_sent = false;                       // some response contained its start command
   bool listed = false;                           // some heartbeat has listed it
   uint64_t last_listed_heartbeat = 0;  // ClusterState::heartbeat_count at the last listing
-  bool stop = false;                   // it is to be stopped
+  bool stop_requested = false;         // it is to be stopped
   double grace_s = 0;                  // time that the stop allows for saving
   bool holds_allocation = false;       // counted for its machine, team and zone
-  double since = 0;                    // when it was placed or first listed
+  double created_at = 0;               // when it was placed or first listed
   double running_since = 0;
   double stop_requested_at = 0;
   // Only in gangs: heartbeats that listed the task as waiting since the gang last lost a task.
--- a/src/core/attempt_tracker.cc
+++ b/src/core/attempt_tracker.cc
@@ -21,7 +21,7 @@
   attempt->machine = machine;
   attempt->index = index;
   attempt->number = number;
-  attempt->since = now;
+  attempt->created_at = now;
   attempt->holds_allocation = true;
   machine->used += job->request;
   if (job->spec.kind == wire::JobKind::kService) ++machine->services;
@@ -47,7 +47,7 @@
   if (attempt->job->spec.kind == wire::JobKind::kArray) {
     ArrayUse(attempt->machine, *attempt->job) -= attempt->job->request;
   }
-  if (attempt->stop) --attempt->machine->stopping;
+  if (attempt->stop_requested) --attempt->machine->stopping_tasks;
   state_.team_usage[attempt->job->spec.team] -= attempt->job->request;
   if (--attempt->job->zone_counts[attempt->machine->zone] <= 0) {
     attempt->job->zone_counts.erase(attempt->machine->zone);
@@ -91,17 +91,17 @@
   job->first_pending = std::min(job->first_pending, index);
   // A whole scheduling cycle places a service's lost task on the best machine, not the next
   // heartbeat on whichever machine sends it.
-  if (job->spec.kind == wire::JobKind::kService) job->considered = false;
+  if (job->spec.kind == wire::JobKind::kService) job->was_considered = false;
   if (job->gang) OnGangTaskLost(job, cause, now);
   state_.schedule_due = true;
 }
 
 void AttemptTracker::StopAttempt(Attempt* attempt, double grace_s, double now) {
   if (attempt->phase == AttemptPhase::kEnded) return;
-  if (!attempt->stop) {
+  if (!attempt->stop_requested) {
     state_.unsent_services.erase(KeyOf(*attempt));
-    attempt->stop = true;
-    if (attempt->holds_allocation) ++attempt->machine->stopping;
+    attempt->stop_requested = true;
+    if (attempt->holds_allocation) ++attempt->machine->stopping_tasks;
     attempt->stop_requested_at = now;
     attempt->grace_s = grace_s;
   } else {
@@ -126,7 +126,7 @@
   Job* job = attempt->job;
   if (job->gang) {
     // All tasks of a gang complete together.
-    job->gang->On(GangEvent::kDone);
+    job->gang->Apply(GangEvent::kDone);
     for (uint32_t index = 0; index < job->spec.tasks; ++index) MarkDone(job, index);
     job->active.clear();
     return;
--- a/src/core/attempt_tracker.h
+++ b/src/core/attempt_tracker.h
@@ -69,7 +69,7 @@
   static bool MayReplaceLostTasks(const Job& job);
   // Whether no task of the gang can be on a machine any more, so that the whole gang may be placed
   // again.
-  static bool GangIsClear(Job* job);
+  static bool HasReleasedAllTasks(Job* job);
 
  private:
   void MarkDone(Job* job, uint32_t index);
--- a/src/core/cluster.cc
+++ b/src/core/cluster.cc
@@ -20,13 +20,13 @@
 
 Cluster::Cluster(const config::Settings& settings,
                  const config::OperatorSettings& operator_settings, uint64_t term, double now,
-                 double wall_now, uint64_t random_seed, Clock clock)
+                 double wall_now, uint64_t random_seed, SteadyClock clock)
     : state_(settings, operator_settings, term, now, wall_now, random_seed, std::move(clock)) {}
 
 SubmitResult Cluster::Submit(const wire::JobSpec& spec, double now, double wall_now) {
-  if (state_.finished_jobs.contains(spec.id)) return {SubmitOutcome::kKnown, ""};
+  if (state_.finished_jobs.contains(spec.id)) return {SubmitOutcome::kAlreadyAccepted, ""};
   if (const Job* known = state_.FindJob(spec.id)) {
-    return {known->stored ? SubmitOutcome::kKnown : SubmitOutcome::kPendingStore, ""};
+    return {known->stored ? SubmitOutcome::kAlreadyAccepted : SubmitOutcome::kPendingStore, ""};
   }
   const config::Team* team = state_.settings.FindTeam(spec.team);
   if (team == nullptr) return {SubmitOutcome::kUnprocessable, "unknown team"};
@@ -92,7 +92,7 @@
     queue_.Enqueue(JobKey(id), Importance::kUser);
     for (auto& [index, attempt] : job->active) {
       if (attempt->phase == AttemptPhase::kPlaced && !attempt->start_sent) {
-        attempts_.StopAttempt(attempt, 0, attempt->since);
+        attempts_.StopAttempt(attempt, 0, attempt->created_at);
       }
     }
     state_.schedule_due = true;
@@ -100,14 +100,14 @@
   return CancelOutcome::kPendingStore;
 }
 
-std::optional<Cluster::JobView> Cluster::View(const std::string& id) const {
+std::optional<Cluster::JobView> Cluster::GetJobView(const std::string& id) const {
   JobView view;
   if (const auto it = state_.finished_jobs.find(id); it != state_.finished_jobs.end()) {
     view.phase =
         it->second.state == FinalState::kDone ? wire::JobPhase::kDone : wire::JobPhase::kCancelled;
     view.done = it->second.state == FinalState::kDone ? it->second.tasks : 0;
     view.stored = true;
-    view.final = true;
+    view.is_final = true;
     return view;
   }
   const Job* job = state_.FindJob(id);
@@ -117,10 +117,10 @@
   view.running = job->running;
   if (job->final_state == FinalState::kDone) {
     view.phase = wire::JobPhase::kDone;
-    view.final = true;
+    view.is_final = true;
   } else if (job->final_state == FinalState::kCancelled) {
     view.phase = wire::JobPhase::kCancelled;
-    view.final = true;
+    view.is_final = true;
     view.running = 0;
   } else if (job->running > 0) {
     view.phase = wire::JobPhase::kRunning;
@@ -142,13 +142,14 @@
   CloudActions cloud_actions;
   lifecycle_.CheckMachines(now, lease_expired, &cloud_actions);
   reconciler_.CheckReconciled();
-  if (now >= state_.cycle_rate_limiter.next_at() &&
+  if (now >= state_.cycle_rate_limiter.next_cycle_at() &&
       (state_.schedule_due || now >= state_.retry_at)) {
     scheduler_.RunSchedulingCycle(now);
   }
   registry_.IssueScaleOut(now, &cloud_actions);
-  state_.next_wake_at = std::min(now + state_.settings.heartbeat_interval_s / 2,
-                                 std::max(state_.retry_at, state_.cycle_rate_limiter.next_at()));
+  state_.next_wake_at =
+      std::min(now + state_.settings.heartbeat_interval_s / 2,
+               std::max(state_.retry_at, state_.cycle_rate_limiter.next_cycle_at()));
   return cloud_actions;
 }
 
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -38,12 +38,12 @@
 
 // The result of a submission, or of a repeated one.
 enum class SubmitOutcome {
-  kKnown,          // accepted and durable, in this term or an earlier one
-  kAccepted,       // new; the user gets a response when its record is durable
-  kPendingStore,   // accepted before, but not durable yet
-  kUnprocessable,  // can never run
-  kBusy,           // not admitted now; the user should retry later
-  kUndecided,      // the machine types are not known yet
+  kAlreadyAccepted,  // accepted and durable, in this term or an earlier one
+  kAccepted,         // new; the user gets a response when its record is durable
+  kPendingStore,     // accepted before, but not durable yet
+  kUnprocessable,    // can never run
+  kBusy,             // not admitted now; the user should retry later
+  kUndecided,        // the machine types are not known yet
 };
 
 // The outcome of a submission, with the reason or the delay for the user.
@@ -66,7 +66,7 @@
 class Cluster {
  public:
   Cluster(const config::Settings& settings, const config::OperatorSettings& operator_settings,
-          uint64_t term, double now, double wall_now, uint64_t random_seed, Clock clock = {});
+          uint64_t term, double now, double wall_now, uint64_t random_seed, SteadyClock clock = {});
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
@@ -83,7 +83,7 @@
   CancelOutcome Cancel(const std::string& id);
   using JobView = core::JobView;
   // The job's state as users may see it; nullopt for a job that this term does not know.
-  std::optional<JobView> View(const std::string& id) const;
+  std::optional<JobView> GetJobView(const std::string& id) const;
 
   // ---- workers ----
   using HeartbeatResult = core::HeartbeatResult;
@@ -103,9 +103,9 @@
   }
   bool HasMachineTypes() const { return !state_.types.empty(); }
   using ScaleOutOutcome = core::ScaleOutOutcome;
-  void OnScaleOutAnswered(const std::string& name, ScaleOutOutcome outcome,
+  void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& machines, double now) {
-    registry_.OnScaleOutAnswered(name, outcome, machines, now);
+    registry_.OnScaleOutResponse(name, outcome, machines, now);
   }
   void OnTerminated(const std::vector<std::string>& machines, bool confirmed, double now) {
     registry_.OnTerminated(machines, confirmed, now);
@@ -116,15 +116,16 @@
 
   // ---- scheduling ----
   // Runs whichever of these is due: the machine rules, a scheduling cycle, scale-out requests. To
-  // be called after changes and at the time that NextWake returns. Returns the calls to make to the
-  // cloud; the response to each must be passed to OnScaleOutAnswered or OnTerminated.
+  // be called after changes and at the time that NextCycleAt returns. Returns the calls to make to
+  // the cloud; the response to each must be passed to OnScaleOutResponse or OnTerminated.
   // `lease_expired`: as for OnHeartbeat.
   CloudActions Schedule(double now, bool lease_expired = false);
   // When Schedule must be called at the latest. The rate of scheduling cycles is limited, so that
   // one cycle handles many changes.
-  double NextWake() const {
-    return state_.schedule_due ? std::min(state_.next_wake_at, state_.cycle_rate_limiter.next_at())
-                               : state_.next_wake_at;
+  double NextCycleAt() const {
+    return state_.schedule_due
+               ? std::min(state_.next_wake_at, state_.cycle_rate_limiter.next_cycle_at())
+               : state_.next_wake_at;
   }
 
   // ---- records: see RecordQueue and DurableState ----
@@ -153,9 +154,9 @@
   // admission::AdmissionPolicy::MakeGrant).
   wire::CreditGrant MakeCreditGrant(double now) { return state_.admission.MakeGrant(now); }
   const admission::AdmissionPolicy& admission() const { return state_.admission; }
-  // See core::KeepAliveLimit.
-  static double KeepAliveLimit(const config::Settings& settings) {
-    return core::KeepAliveLimit(settings);
+  // See core::LeaseRenewalGraceS.
+  static double LeaseRenewalGraceS(const config::Settings& settings) {
+    return core::LeaseRenewalGraceS(settings);
   }
 
  private:
--- a/src/core/cluster_state.cc
+++ b/src/core/cluster_state.cc
@@ -7,7 +7,7 @@
 
 namespace zinclead::core {
 
-double KeepAliveLimit(const config::Settings& settings) {
+double LeaseRenewalGraceS(const config::Settings& settings) {
   // A confirmed cancellation must take effect within cancel_s, also on a worker that only an
   // earlier leader reaches: that leader responds up to this limit, and one lease later the worker
   // stops its tasks. The 3% cover clock drift and the delay of the last response.
@@ -16,14 +16,14 @@
 
 ClusterState::ClusterState(const config::Settings& platform_settings,
                            const config::OperatorSettings& operators, uint64_t leader_term,
-                           double now, double wall_now, uint64_t random_seed, Clock clock)
+                           double now, double wall_now, uint64_t random_seed, SteadyClock clock)
     : settings(platform_settings),
       operator_settings(operators),
       admission_limits(admission::DeriveLimits(settings, operator_settings)),
       admission(admission_limits, now, random_seed),
       term(leader_term),
       started_at(now),
-      earlier_leader_renewals_until(now + KeepAliveLimit(settings)),
+      earlier_leader_renewals_until(now + LeaseRenewalGraceS(settings)),
       wall_clock_offset_s(wall_now - now),
       random(random_seed),
       scale_out_rate_limiter(
--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -31,7 +31,7 @@
   // `now` is on the steady clock, `wall_now` is the time of day, both in seconds.
   ClusterState(const config::Settings& platform_settings, const config::OperatorSettings& operators,
                uint64_t leader_term, double now, double wall_now, uint64_t random_seed,
-               Clock clock);
+               SteadyClock clock);
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
@@ -73,10 +73,10 @@
   std::map<std::string, Resources> team_usage;
   // Attempts of services whose start was in no response yet, the oldest job's first.
   std::map<AttemptKey, Attempt*> unsent_services;
-  // Offers of which the cloud had too few machines. They are not requested before `until`;
+  // Offers of which the cloud had too few machines. They are not requested before `backoff_until`;
   // `backoff_s` grows with each failure.
   struct CapacityBackoff {
-    double until = 0;
+    double backoff_until = 0;
     double backoff_s = 0;
   };
   std::map<MachineOffer, CapacityBackoff> capacity_backoffs;
@@ -104,7 +104,7 @@
 
 // How long after the start of a term an earlier leader that can't reach the state service may still
 // renew workers' leases, in seconds.
-double KeepAliveLimit(const config::Settings& settings);
+double LeaseRenewalGraceS(const config::Settings& settings);
 
 }  // namespace zinclead::core
 
--- a/src/core/cycle_rate_limiter.cc
+++ b/src/core/cycle_rate_limiter.cc
@@ -17,7 +17,8 @@
 }  // namespace
 
 CycleRateLimiter::CycleRateLimiter(const config::Settings& settings,
-                                   const config::OperatorSettings& operator_settings, Clock clock)
+                                   const config::OperatorSettings& operator_settings,
+                                   SteadyClock clock)
     : min_interval_s_(kMinIntervalHeartbeatShare * settings.heartbeat_interval_s),
       max_interval_s_(std::max(min_interval_s_, operator_settings.retry_s)),
       clock_(std::move(clock)) {}
@@ -26,7 +27,8 @@
   const double started_at = clock_ ? clock_() : 0;
   cycle();
   const double duration_s = clock_ ? clock_() - started_at : 0;
-  next_at_ = now + std::clamp(duration_s / kMaxCycleTimeShare, min_interval_s_, max_interval_s_);
+  next_cycle_at_ =
+      now + std::clamp(duration_s / kMaxCycleTimeShare, min_interval_s_, max_interval_s_);
 }
 
 }  // namespace zinclead::core
--- a/src/core/cycle_rate_limiter.h
+++ b/src/core/cycle_rate_limiter.h
@@ -11,27 +11,27 @@
 namespace zinclead::core {
 
 // Returns the time of a steady clock, in seconds.
-using Clock = std::function<double()>;
+using SteadyClock = std::function<double()>;
 
 // Spaces scheduling cycles in proportion to their duration. The caller must not run a cycle before
-// next_at(). Not thread-safe.
+// next_cycle_at(). Not thread-safe.
 class CycleRateLimiter {
  public:
   // If `clock` is empty, the duration of cycles counts as zero and only the minimum interval
   // applies.
   CycleRateLimiter(const config::Settings& settings,
-                   const config::OperatorSettings& operator_settings, Clock clock);
+                   const config::OperatorSettings& operator_settings, SteadyClock clock);
 
   // Runs `cycle` and sets when the next one may run. `now` is on the steady clock, in seconds.
   void Run(double now, const std::function<void()>& cycle);
   // The earliest time for the next cycle, on the same clock as `now`.
-  double next_at() const { return next_at_; }
+  double next_cycle_at() const { return next_cycle_at_; }
 
  private:
   const double min_interval_s_;
   const double max_interval_s_;
-  const Clock clock_;
-  double next_at_ = 0;
+  const SteadyClock clock_;
+  double next_cycle_at_ = 0;
 };
 
 }  // namespace zinclead::core
--- a/src/core/durable_state.cc
+++ b/src/core/durable_state.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 bool DurableState::LoadRecord(const std::string& key, const Json& value) {
-  if (value == EmptiedRecord()) {
+  if (value == TombstoneValue()) {
     queue_.Enqueue(key, Importance::kBackground);  // to be deleted now that the term has changed
     return true;
   }
@@ -183,7 +183,7 @@
             {"count", scale_out.count},
             {"asked_ms", asked_ms}};
   if (scale_out.adopted) json["adopted"] = true;
-  if (!scale_out.Answered()) return json;
+  if (!scale_out.IsCompleted()) return json;
   Json names = Json::object();
   std::vector<std::string>& dispatch_marks = queue_.BeginWrite(key).dispatch_marks;
   for (const auto& [id, dispatchable] : scale_out.machines) {
@@ -207,7 +207,7 @@
     case RecordKind::kScaleOut: {
       const auto it = state_.scale_outs.find(record.id);
       if (it == state_.scale_outs.end()) return std::nullopt;
-      if (it->second->Answered() && it->second->machines.empty()) return std::nullopt;
+      if (it->second->IsCompleted() && it->second->machines.empty()) return std::nullopt;
       return SerializeScaleOut(key, *it->second);
     }
     case RecordKind::kMachineType: {
@@ -267,7 +267,8 @@
     scale_out->machines[id] = true;
     machine->dispatchable = true;
   }
-  if (scale_out->Answered() && scale_out->machines.empty() && !queue_.Contains(ScaleOutKey(name))) {
+  if (scale_out->IsCompleted() && scale_out->machines.empty() &&
+      !queue_.Contains(ScaleOutKey(name))) {
     state_.scale_outs.erase(it);
   }
 }
--- a/src/core/gang.cc
+++ b/src/core/gang.cc
@@ -6,13 +6,13 @@
 
 GangState NextGangState(GangState state, GangEvent event) {
   if (event == GangEvent::kDone || state == GangState::kEnded) return GangState::kEnded;
-  if (event == GangEvent::kCleared) return GangState::kPlacing;
+  if (event == GangEvent::kAllTasksReleased) return GangState::kUnplaced;
   switch (state) {
-    case GangState::kPlacing:
+    case GangState::kUnplaced:
       return event == GangEvent::kPlaced || event == GangEvent::kAdopted ? GangState::kWaiting
-                                                                         : GangState::kPlacing;
+                                                                         : GangState::kUnplaced;
     case GangState::kWaiting:
-      if (event == GangEvent::kSeenRunning) return GangState::kRunning;
+      if (event == GangEvent::kReportedRunning) return GangState::kRunning;
       // The other tasks wait until the lost task is replaced.
       if (event == GangEvent::kTaskLost) return GangState::kWaiting;
       break;
@@ -24,29 +24,29 @@
     case GangState::kEnded:
       return state;
   }
-  const bool must_stop = event == GangEvent::kGaveUp || event == GangEvent::kStopWanted;
+  const bool must_stop = event == GangEvent::kStartTimeout || event == GangEvent::kStopRequested;
   return must_stop ? GangState::kStopping : state;
 }
 
 void Gang::OnPlaced(uint64_t attempt) {
   attempt_ = attempt;
   is_adopted_ = false;
-  On(GangEvent::kPlaced);
+  Apply(GangEvent::kPlaced);
 }
 
 void Gang::OnAdopted(uint64_t attempt) {
-  if (state_ == GangState::kPlacing) {
+  if (state_ == GangState::kUnplaced) {
     attempt_ = attempt;
     is_adopted_ = true;
-    On(GangEvent::kAdopted);
+    Apply(GangEvent::kAdopted);
   } else if (attempt != attempt_) {
-    On(GangEvent::kStopWanted);
+    Apply(GangEvent::kStopRequested);
   }
 }
 
 void Gang::OnStartTimeout() {
   if (state_ == GangState::kWaiting) ++start_timeouts_;
-  On(GangEvent::kGaveUp);
+  Apply(GangEvent::kStartTimeout);
 }
 
 bool CanStopGracefully(const config::Settings& settings) {
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -11,7 +11,7 @@
 namespace zinclead::core {
 
 enum class GangState : uint8_t {
-  kPlacing,   // the gang has no attempt; all tasks may be placed together
+  kUnplaced,  // the gang has no attempt; all tasks may be placed together
   kWaiting,   // an attempt was placed; no heartbeat has shown that it has run
   kRunning,   // the attempt has run, so a lost task can't be replaced
   kStopping,  // the attempt has failed; no task starts until all have left their machines
@@ -19,14 +19,14 @@
 };
 
 enum class GangEvent : uint8_t {
-  kPlaced,       // all tasks were placed, with one attempt number
-  kAdopted,      // a heartbeat lists a task of an attempt that an earlier leader started
-  kSeenRunning,  // a heartbeat lists a task that runs, saves, or ended because its peers ended
-  kTaskLost,     // a task is no longer on its machine and is not done
-  kGaveUp,       // a task ended because the gang was not complete in time
-  kStopWanted,   // the whole gang must be stopped
-  kCleared,      // no task of the gang can be on a machine
-  kDone,         // one task is done, and therefore all are
+  kPlaced,            // all tasks were placed, with one attempt number
+  kAdopted,           // a heartbeat lists a task of an attempt that an earlier leader started
+  kReportedRunning,   // a heartbeat lists a task that runs, saves, or ended because its peers ended
+  kTaskLost,          // a task is no longer on its machine and is not done
+  kStartTimeout,      // a task ended because the gang was not complete in time
+  kStopRequested,     // the whole gang must be stopped
+  kAllTasksReleased,  // no task of the gang can be on a machine
+  kDone,              // one task is done, and therefore all are
 };
 
 // Returns the state after `event`; `state` itself if the event does not apply to it.
@@ -40,7 +40,7 @@
   uint64_t attempt() const { return attempt_; }
   // Whether a lost task may be started again with the attempt's number: this leader placed the
   // attempt, and the attempt has not run. Which tasks an earlier leader placed is not known.
-  bool MayReplace() const { return state_ == GangState::kWaiting && !is_adopted_; }
+  bool MayReplaceLostTask() const { return state_ == GangState::kWaiting && !is_adopted_; }
 
   // All tasks were placed with this attempt number.
   void OnPlaced(uint64_t attempt);
@@ -48,7 +48,7 @@
   // never run together, so a second attempt number stops the gang.
   void OnAdopted(uint64_t attempt);
   // Applies the event to the state.
-  void On(GangEvent event) { state_ = NextGangState(state_, event); }
+  void Apply(GangEvent event) { state_ = NextGangState(state_, event); }
 
   // A task ended because the attempt was not complete in time.
   void OnStartTimeout();
@@ -56,7 +56,7 @@
   int start_timeouts() const { return start_timeouts_; }
 
  private:
-  GangState state_ = GangState::kPlacing;
+  GangState state_ = GangState::kUnplaced;
   uint64_t attempt_ = 0;
   bool is_adopted_ = false;
   int start_timeouts_ = 0;
--- a/src/core/gang_lifecycle.cc
+++ b/src/core/gang_lifecycle.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 void AttemptTracker::StopGang(Job* job, bool with_checkpoint, double now) {
-  job->gang->On(GangEvent::kStopWanted);
+  job->gang->Apply(GangEvent::kStopRequested);
   const double grace_s = with_checkpoint ? job->spec.save_s : 0;
   for (Attempt* attempt : job->attempts) StopAttempt(attempt, grace_s, now);
 }
@@ -54,7 +54,7 @@
   Gang& gang = *attempt->job->gang;
   if (attempt->number != gang.attempt()) return;
   if (IsExecuting(attempt->phase)) {
-    gang.On(GangEvent::kSeenRunning);
+    gang.Apply(GangEvent::kReportedRunning);
   } else {
     ++attempt->waiting_heartbeats;
     if (attempt->job->pending > 0 &&
@@ -69,15 +69,15 @@
   const bool has_attempt =
       gang.state() == GangState::kWaiting || gang.state() == GangState::kRunning;
   if (!has_attempt) return;
-  if (cause == wire::EndCause::kIncomplete) {
+  if (cause == wire::EndCause::kGangIncomplete) {
     // No machine is at fault. The cause of the timeout may persist, so the gang is retried later.
     gang.OnStartTimeout();
     const int doublings = std::min(gang.start_timeouts() - 1, kMaxBackoffDoublings);
-    job->not_before =
+    job->backoff_until =
         now + state_.operator_settings.retry_s * std::pow(2.0, std::max(0, doublings));
   } else {
-    if (cause == wire::EndCause::kPeers) gang.On(GangEvent::kSeenRunning);
-    gang.On(GangEvent::kTaskLost);
+    if (cause == wire::EndCause::kPeerEnded) gang.Apply(GangEvent::kReportedRunning);
+    gang.Apply(GangEvent::kTaskLost);
   }
   if (gang.state() == GangState::kStopping) {
     // The remaining tasks can't complete without the lost one.
@@ -90,19 +90,20 @@
 // Requires heartbeats since the loss that list each remaining task as waiting. They show that the
 // gang did not run while it was complete; without the lost tasks it can't start.
 bool AttemptTracker::MayReplaceLostTasks(const Job& job) {
-  return job.gang->MayReplace() && !job.active.empty() &&
+  return job.gang->MayReplaceLostTask() && !job.active.empty() &&
          std::all_of(job.active.begin(), job.active.end(), [](const auto& entry) {
            const Attempt& attempt = *entry.second;
-           return !attempt.stop && (!attempt.start_sent ||
-                                    attempt.waiting_heartbeats >= kMinWaitingHeartbeatsToReplace);
+           return !attempt.stop_requested &&
+                  (!attempt.start_sent ||
+                   attempt.waiting_heartbeats >= kMinWaitingHeartbeatsToReplace);
          });
 }
 
-bool AttemptTracker::GangIsClear(Job* job) {
+bool AttemptTracker::HasReleasedAllTasks(Job* job) {
   const bool is_clear =
       std::none_of(job->attempts.begin(), job->attempts.end(),
                    [](const Attempt* attempt) { return attempt->holds_allocation; });
-  if (is_clear) job->gang->On(GangEvent::kCleared);
+  if (is_clear) job->gang->Apply(GangEvent::kAllTasksReleased);
   return is_clear;
 }
 
--- a/src/core/heartbeat_handler.cc
+++ b/src/core/heartbeat_handler.cc
@@ -40,7 +40,7 @@
 
 HeartbeatResult Rejected() {
   HeartbeatResult result;
-  result.reject = true;
+  result.rejected = true;
   return result;
 }
 
@@ -100,7 +100,7 @@
   // A worker keeps the highest fencing token that it has seen. A lower one means a delayed copy
   // from before the machine restarted and reset its counters, or a machine that has lost the term.
   // An earlier leader may command such a machine, so it is left to expire and be replaced.
-  if (machine.acknowledged && heartbeat.fencing_token < state_.term) return true;
+  if (machine.term_acknowledged && heartbeat.fencing_token < state_.term) return true;
   // The agent epoch has expired and its tasks may run elsewhere: its lease must never be renewed.
   return same_epoch && machine.epoch_expired;
 }
@@ -109,7 +109,7 @@
                                      double now) {
   machine->epoch_expired = false;
   machine->last_heartbeat_at = now;
-  machine->from_list = false;
+  machine->known_only_from_list = false;
   if (machine->stage == MachineStage::kBooting) {
     machine->stage = MachineStage::kUp;
     machine->idle_since = now;
@@ -142,15 +142,15 @@
     // A listed attempt that is missing now was acknowledged as completed, or was lost. An attempt
     // that was never listed and is to be stopped will never run: if the response to an earlier
     // heartbeat contained its start, the worker has discarded that response.
-    if (attempt->listed || attempt->stop) vanished.push_back(attempt.get());
+    if (attempt->listed || attempt->stop_requested) vanished.push_back(attempt.get());
   }
   for (Attempt* attempt : vanished) attempts_.RemoveAttempt(attempt, now);
 }
 
 void HeartbeatHandler::RecordTermAcknowledgement(Machine* machine,
                                                  const wire::Heartbeat& heartbeat) {
-  if (heartbeat.fencing_token < state_.term || machine->acknowledged) return;
-  machine->acknowledged = true;
+  if (heartbeat.fencing_token < state_.term || machine->term_acknowledged) return;
+  machine->term_acknowledged = true;
   state_.schedule_due = true;
   reconciler_.CheckReconciled();
 }
@@ -164,7 +164,7 @@
 
   // Uses freed capacity in this response instead of the next one.
   if (!state_.schedule_due || !machine->Usable()) return;
-  if (now >= state_.cycle_rate_limiter.next_at()) {
+  if (now >= state_.cycle_rate_limiter.next_cycle_at()) {
     scheduler_.RunSchedulingCycle(now);
   } else {
     scheduler_.BackfillMachine(machine, now);
@@ -178,7 +178,7 @@
       if (MayAcknowledgeCompletion(*attempt)) {
         commands->push_back(CommandFor(wire::CommandOp::kAcknowledgeCompletion, *attempt));
       }
-    } else if (attempt->stop) {
+    } else if (attempt->stop_requested) {
       if (attempt->phase != AttemptPhase::kSaving || attempt->grace_s == 0) {
         commands->push_back(CommandFor(wire::CommandOp::kStop, *attempt, attempt->grace_s));
       }
@@ -225,7 +225,7 @@
                                                   : ResponseDelivery::kUnknown;
   }
   if (heartbeat.fencing_token < state_.term) return ResponseDelivery::kMissed;
-  if (!machine.acknowledged) return ResponseDelivery::kAcknowledged;
+  if (!machine.term_acknowledged) return ResponseDelivery::kAcknowledged;
   bool missed = false;
   for (const auto& [key, attempt] : machine.attempts) {
     if (!attempt->start_sent || attempt->listed) continue;
@@ -279,7 +279,7 @@
                                             const wire::TaskStatus& listed, double now) {
   // Tasks that earlier terms started are adopted until the worker has seen this term. After that
   // only this leader starts tasks on the machine.
-  const bool may_adopt = !machine->acknowledged;
+  const bool may_adopt = !machine->term_acknowledged;
   Attempt* attempt = attempts_.AddAttempt(machine, job, listed.task.index, listed.attempt, now);
   if (listed.phase == wire::TaskPhase::kEnded) return attempt;
   if (may_adopt && job->Live() && job->tasks[attempt->index] == TaskState::kPending) {
@@ -337,7 +337,7 @@
       machine->full_until = now + state_.settings.heartbeat_interval_s;
       break;
     case wire::EndCause::kUnknownTask:
-      job->not_before = now + state_.operator_settings.retry_s;
+      job->backoff_until = now + state_.operator_settings.retry_s;
       break;
     default:
       break;
@@ -347,12 +347,12 @@
 void HeartbeatHandler::OnTaskError(Machine* machine, Job* job, double now) {
   job->failed_on[machine->id] = now;
   machine->failed_jobs.insert(job->spec.id);
-  if (job->failed_on.size() >= kFaultyJobThreshold) {
+  if (job->failed_on.size() >= kFaultyJobMinFailedMachines) {
     // The job fails on every machine, so it is at fault: it backs off, and no machine is blamed.
     const int doublings =
-        std::min<int>(static_cast<int>(job->failed_on.size() - kFaultyJobThreshold),
+        std::min<int>(static_cast<int>(job->failed_on.size() - kFaultyJobMinFailedMachines),
                       kMaxFaultyJobBackoffDoublings);
-    job->not_before = now + state_.operator_settings.retry_s * std::pow(2.0, doublings);
+    job->backoff_until = now + state_.operator_settings.retry_s * std::pow(2.0, doublings);
     for (auto& [id, other] : state_.machines) other->failed_jobs.erase(job->spec.id);
     return;
   }
--- a/src/core/heartbeat_handler.h
+++ b/src/core/heartbeat_handler.h
@@ -18,7 +18,7 @@
 
 // The response to a heartbeat.
 struct HeartbeatResult {
-  bool reject = false;  // respond with 503; the worker's lease is not renewed
+  bool rejected = false;  // respond with 503; the worker's lease is not renewed
   std::vector<wire::Command> commands;
 };
 
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -21,7 +21,7 @@
 
 // A job counts as faulty when its tasks have failed on this many machines; with fewer, the machines
 // are blamed.
-inline constexpr size_t kFaultyJobThreshold = 3;
+inline constexpr size_t kFaultyJobMinFailedMachines = 3;
 
 // kActive: the task has an active attempt. kDoneUnstored: completed, but the completion is not
 // durable yet, so a new leader would have to learn of it from a heartbeat.
@@ -60,9 +60,9 @@
   uint32_t running = 0;
   std::unordered_set<Attempt*> attempts;    // on all machines, ended ones included
   bool started = false;                     // some task has run, as far as this term knows
-  bool considered = false;                  // a whole scheduling cycle has tried to place it
+  bool was_considered = false;              // a whole scheduling cycle has tried to place it
   std::map<std::string, double> failed_on;  // time of the last failed task, by machine id
-  double not_before = 0;                    // the job backs off until then
+  double backoff_until = 0;                 // the job backs off until then
   std::optional<Gang> gang;                 // only if the tasks must run at the same time
 
   // Neither finished nor cancelled, so that its tasks may start.
@@ -76,7 +76,7 @@
   uint32_t done = 0;
   uint32_t running = 0;
   bool stored = false;
-  bool final = false;
+  bool is_final = false;
 };
 
 }  // namespace zinclead::core
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -46,8 +46,8 @@
   MachineStage stage = MachineStage::kBooting;
   bool dispatchable = false;            // its record says so durably: tasks may be on it
   bool dispatchable_requested = false;  // `dispatchable` is being stored
-  bool from_list = false;               // known only from the cloud's machine list
-  bool acknowledged = false;            // a heartbeat has shown that the worker has seen this term
+  bool known_only_from_list = false;    // known only from the cloud's machine list
+  bool term_acknowledged = false;       // a heartbeat has shown that the worker has seen this term
   bool epoch_expired = false;           // its last agent epoch has provably ended
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;         // of the last heartbeat handled in the epoch
@@ -68,7 +68,7 @@
   Resources capacity;
   Resources used;
   int services = 0;                    // tasks of services that may be on it
-  int stopping = 0;                    // tasks that may be on it and are to be stopped
+  int stopping_tasks = 0;              // tasks that may be on it and are to be stopped
   int headroom_slots = 0;              // production services that would fit, from the last cycle
   std::array<Resources, 4> array_use;  // allocated to tasks of arrays, by priority
   std::map<AttemptKey, std::unique_ptr<Attempt>> attempts;
@@ -93,11 +93,13 @@
 
   // Whether tasks may be placed on the machine.
   bool Usable() const {
-    return stage == MachineStage::kUp && dispatchable && acknowledged && !epoch_expired &&
+    return stage == MachineStage::kUp && dispatchable && term_acknowledged && !epoch_expired &&
            Schedulable() && type != nullptr && ReceivesCommands();
   }
   // Whether the machine may hold tasks of earlier terms that this leader does not know.
-  bool MayHaveUnreconciledTasks() const { return dispatchable && !acknowledged && !epoch_expired; }
+  bool MayHaveUnreconciledTasks() const {
+    return dispatchable && !term_acknowledged && !epoch_expired;
+  }
 
  private:
   void Advance(MachineAvailability next) { availability = std::max(availability, next); }
--- a/src/core/machine_lifecycle.cc
+++ b/src/core/machine_lifecycle.cc
@@ -56,7 +56,7 @@
     const wire::JobSpec& spec = attempt->job->spec;
     // A gang's tasks that have saved wait for the others.
     const double wait_s = attempt->job->gang ? state_.settings.gang_peer_s : 0;
-    if (spec.checkpoint_s > 0 && !attempt->stop &&
+    if (spec.checkpoint_s > 0 && !attempt->stop_requested &&
         *machine->reclaim_at - now <=
             2 * spec.save_s + 2 * state_.settings.heartbeat_interval_s + wait_s) {
       attempts_.StopWithCheckpoint(attempt.get(), now);
@@ -91,10 +91,10 @@
 void MachineLifecycle::ExpireEpoch(Machine* machine, double now) {
   if (machine->stage != MachineStage::kUp || machine->epoch_expired) return;
   // Until the worker has seen this term, an earlier leader may have renewed its lease: for
-  // KeepAliveLimit after that leader's own lease, which ended before this term began, or until all
-  // other controllers knew this term.
+  // LeaseRenewalGraceS after that leader's own lease, which ended before this term began, or until
+  // all other controllers knew this term.
   const double last_renewal =
-      machine->acknowledged
+      machine->term_acknowledged
           ? machine->last_heartbeat_at
           : std::max(machine->last_heartbeat_at, state_.earlier_leader_renewals_until);
   if (now <= last_renewal + LongestLeaseS()) return;
@@ -128,7 +128,8 @@
 void MachineLifecycle::TerminateIfSilentInFailover(Machine* machine, const FleetHealth& fleet,
                                                    double now) const {
   if (fleet.few_machines_silent && fleet.has_waiting_inherited_tasks &&
-      machine->stage == MachineStage::kUp && !machine->acknowledged && !machine->Terminating() &&
+      machine->stage == MachineStage::kUp && !machine->term_acknowledged &&
+      !machine->Terminating() &&
       now - std::max(machine->last_heartbeat_at, state_.started_at) > FailoverSilenceS()) {
     machine->Terminate();
   }
@@ -137,7 +138,8 @@
 void MachineLifecycle::TerminateIfBootFailed(Machine* machine, double now) const {
   if (machine->stage == MachineStage::kBooting && !machine->Terminating() &&
       machine->type != nullptr &&
-      now - machine->requested_at > state_.operator_settings.boot_give_up * machine->type->boot_s) {
+      now - machine->requested_at >
+          state_.operator_settings.boot_timeout_ratio * machine->type->boot_s) {
     machine->Terminate();
   }
 }
@@ -145,8 +147,8 @@
 // Not for machines that are still booting, which are left to TerminateIfBootFailed, nor for those
 // that receive no commands, which are idle for that reason and left to TerminateIfUnreachable.
 void MachineLifecycle::TerminateIfIdle(Machine* machine, double now) {
-  if (machine->stage != MachineStage::kUp || machine->Terminating() || !machine->acknowledged ||
-      !machine->ReceivesCommands() || !machine->attempts.empty()) {
+  if (machine->stage != MachineStage::kUp || machine->Terminating() ||
+      !machine->term_acknowledged || !machine->ReceivesCommands() || !machine->attempts.empty()) {
     return;
   }
   const bool idle = now - machine->idle_since >= state_.operator_settings.idle_s;
@@ -160,7 +162,7 @@
 }
 
 void MachineLifecycle::TerminateIfCordonedAndEmpty(Machine* machine) {
-  if (!machine->Schedulable() && machine->attempts.empty() && machine->acknowledged) {
+  if (!machine->Schedulable() && machine->attempts.empty() && machine->term_acknowledged) {
     machine->Terminate();
   }
 }
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -98,10 +98,10 @@
   state_.schedule_due = true;
 }
 
-void MachineRegistry::OnScaleOutAnswered(const std::string& name, ScaleOutOutcome outcome,
+void MachineRegistry::OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                                          const std::vector<std::string>& machines, double now) {
   const auto it = state_.scale_outs.find(name);
-  if (it == state_.scale_outs.end() || it->second->Answered()) return;
+  if (it == state_.scale_outs.end() || it->second->IsCompleted()) return;
   ScaleOutRecord* scale_out = it->second.get();
   state_.schedule_due = true;
   if (outcome == ScaleOutOutcome::kUnknown) {
@@ -137,7 +137,7 @@
       backoff.backoff_s == 0
           ? kInitialCapacityBackoffRetryIntervals * retry_s
           : std::min(2 * backoff.backoff_s, kMaxCapacityBackoffRetryIntervals * retry_s);
-  backoff.until = now + backoff.backoff_s;
+  backoff.backoff_until = now + backoff.backoff_s;
 }
 
 void MachineRegistry::OnTerminated(const std::vector<std::string>& machines, bool confirmed,
@@ -177,12 +177,12 @@
   const bool requested =
       std::any_of(state_.scale_outs.begin(), state_.scale_outs.end(), [&](const auto& entry) {
         const ScaleOutRecord& scale_out = *entry.second;
-        return !scale_out.Answered() && scale_out.type == listed.type &&
+        return !scale_out.IsCompleted() && scale_out.type == listed.type &&
                scale_out.zone == listed.zone && scale_out.spot == listed.spot;
       });
   if (requested) return;
   Machine* machine = AdoptMachine(listed.id, listed.type, listed.zone, listed.spot, now);
-  machine->from_list = true;
+  machine->known_only_from_list = true;
   machine->requested_at = now - listed.age_s;
   if (listed.state == wire::ListedState::kFailed) machine->Terminate();
 }
--- a/src/core/machine_registry.h
+++ b/src/core/machine_registry.h
@@ -30,7 +30,7 @@
   void OnMachineTypes(const std::vector<wire::MachineType>& types);
   // Processes the cloud's response to the scale-out request `name`, with the ids of the machines
   // that it started. Responses to unknown requests, and repeated ones, are ignored.
-  void OnScaleOutAnswered(const std::string& name, ScaleOutOutcome outcome,
+  void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& machines, double now);
   // Processes the cloud's response to a termination request. `confirmed`: the machines no longer
   // run; otherwise the request is repeated later.
--- a/src/core/record_keys.h
+++ b/src/core/record_keys.h
@@ -19,7 +19,7 @@
 
 // The value that replaces a record which can't be deleted in this term (see state::Committer). The
 // next term deletes it.
-inline wire::Json EmptiedRecord() { return false; }
+inline wire::Json TombstoneValue() { return false; }
 
 // The record of the job: its description, the done tasks of its first chunk, its final state.
 inline std::string JobKey(const std::string& id) { return std::string(kJobPrefix) + id; }
--- a/src/core/scale_out_record.h
+++ b/src/core/scale_out_record.h
@@ -35,7 +35,7 @@
   std::map<std::string, bool> machines;  // id -> dispatchable (a task may be on it)
 
   MachineOffer Offer() const { return {type, zone, spot}; }
-  bool Answered() const { return phase == ScaleOutPhase::kCompleted; }
+  bool IsCompleted() const { return phase == ScaleOutPhase::kCompleted; }
   void OnStored() {
     if (phase == ScaleOutPhase::kQueued) phase = ScaleOutPhase::kDurable;
   }
--- a/src/core/scheduler.cc
+++ b/src/core/scheduler.cc
@@ -77,7 +77,7 @@
   }
 
   void PlaceJob(Job* job) {
-    job->considered = true;
+    job->was_considered = true;
     ZonePlan zones;
     if (job->spec.one_zone && job->zone_counts.empty()) {
       zones.chosen_zone = ChooseZone(context_, *job, job->pending, CapacityView::kGeneral);
--- a/src/core/scheduling/autoscaler.cc
+++ b/src/core/scheduling/autoscaler.cc
@@ -70,7 +70,8 @@
 bool Autoscaler::TakeRequestToken() {
   ClusterState& state = context_.state;
   if (state.scale_out_rate_limiter.Take(context_.now, 1, Importance::kNormal)) return true;
-  const double wait_s = state.scale_out_rate_limiter.Wait(context_.now, 1, Importance::kNormal);
+  const double wait_s =
+      state.scale_out_rate_limiter.SecondsUntilAvailable(context_.now, 1, Importance::kNormal);
   state.retry_at = std::min(state.retry_at, context_.now + wait_s);
   is_rate_exhausted_ = true;
   return false;
--- a/src/core/scheduling/backfill.cc
+++ b/src/core/scheduling/backfill.cc
@@ -14,7 +14,7 @@
   context->candidates.assign(1, machine);
   for (Job* job : context->job_queue) {
     if (!context->smallest_request.Fits(AvailableOn(context->state, *machine))) return;
-    if (!job->considered || job->gang) continue;
+    if (!job->was_considered || job->gang) continue;
     // Choosing a zone requires all machines.
     if (job->spec.one_zone && job->zone_counts.empty()) continue;
     PlaceOnCandidates(context, job, ZonePlan{});
--- a/src/core/scheduling/gang_placement.cc
+++ b/src/core/scheduling/gang_placement.cc
@@ -21,7 +21,7 @@
 // an earlier leader placed it and tasks are missing after all machines have reported. Keeps a
 // waiting attempt of this leader, whose lost tasks may be replaced after further heartbeats.
 void StopIncompleteGang(SchedulingContext* context, Job* job) {
-  if (job->gang->state() != GangState::kWaiting || !job->gang->MayReplace()) {
+  if (job->gang->state() != GangState::kWaiting || !job->gang->MayReplaceLostTask()) {
     context->attempts.StopGang(job, false, context->now);
   }
 }
@@ -49,7 +49,7 @@
 
 void PlaceGang(SchedulingContext* context, Autoscaler* autoscaler, Job* job, ZonePlan* zones) {
   const bool is_replacement = AttemptTracker::MayReplaceLostTasks(*job);
-  if (!is_replacement && !AttemptTracker::GangIsClear(job)) {
+  if (!is_replacement && !AttemptTracker::HasReleasedAllTasks(job)) {
     StopIncompleteGang(context, job);
     return;
   }
--- a/src/core/scheduling/job_queue.cc
+++ b/src/core/scheduling/job_queue.cc
@@ -67,7 +67,7 @@
   UnreconciledJobs unreconciled(state, quotas);
   std::vector<Job*> jobs;
   for (const auto& [key, job] : state.active_jobs) {
-    if (job->pending == 0 || !job->Live() || !job->stored || job->not_before > now) continue;
+    if (job->pending == 0 || !job->Live() || !job->stored || job->backoff_until > now) continue;
     if (!state.reconciled && unreconciled.MayHaveUnreconciledCopies(*job)) continue;
     jobs.push_back(job);
   }
--- a/src/core/scheduling/offer_selection.cc
+++ b/src/core/scheduling/offer_selection.cc
@@ -23,7 +23,7 @@
 bool IsInCapacityBackoff(const SchedulingContext& context, const MachineOffer& offer) {
   const auto& backoffs = context.state.capacity_backoffs;
   const auto it = backoffs.find(offer);
-  return it != backoffs.end() && it->second.until > context.now;
+  return it != backoffs.end() && it->second.backoff_until > context.now;
 }
 
 size_t CountMachinesInZone(const ClusterState& state, const std::string& zone) {
--- a/src/core/scheduling/placement_constraints.cc
+++ b/src/core/scheduling/placement_constraints.cc
@@ -51,7 +51,7 @@
 bool MachineSuits(const SchedulingContext& context, const Job& job, const Machine& machine) {
   if (machine.spot && !job.spec.spot) return false;
   if (!TypeAllowed(job, machine.type_name)) return false;
-  if (job.failed_on.size() >= kFaultyJobThreshold) return true;
+  if (job.failed_on.size() >= kFaultyJobMinFailedMachines) return true;
   // The backoff ends because the machine may be the only one with capacity.
   const auto failed = job.failed_on.find(machine.id);
   return failed == job.failed_on.end() ||
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -17,7 +17,7 @@
   const wire::Priority first_priority = first->job->spec.priority;
   const wire::Priority second_priority = second->job->spec.priority;
   if (first_priority != second_priority) return first_priority > second_priority;
-  return first->since > second->since;
+  return first->created_at > second->created_at;
 }
 
 }  // namespace
@@ -33,7 +33,8 @@
   }
   for (const auto& [id, machine] : context_.state.machines) {
     if (tasks == 0) break;
-    if (!is_within_guarantee && machine->stopping == 0 && !MayHaveCapacityFor(job, *machine)) {
+    if (!is_within_guarantee && machine->stopping_tasks == 0 &&
+        !MayHaveCapacityFor(job, *machine)) {
       continue;
     }
     if (!MachineAllowed(context_, job, *machine) || !ZoneAllowed(job, machine->zone, *zones)) {
@@ -73,7 +74,7 @@
   }
   for (const auto& [key, attempt] : machine.attempts) {
     if (!attempt->holds_allocation) continue;
-    if (attempt->stop) {
+    if (attempt->stop_requested) {
       preemptible.free += attempt->job->request;
     } else if (MayPreempt(job, *attempt->job)) {
       preemptible.victims.push_back(attempt.get());
--- a/src/core/scheduling/service_consolidation.cc
+++ b/src/core/scheduling/service_consolidation.cc
@@ -69,7 +69,7 @@
   const double min_runtime_s = kMinServiceRuntimeLeases * context.state.settings.lease_s;
   return std::all_of(machine.attempts.begin(), machine.attempts.end(), [&](const auto& entry) {
     const Attempt& attempt = *entry.second;
-    return attempt.phase == AttemptPhase::kRunning && !attempt.stop &&
+    return attempt.phase == AttemptPhase::kRunning && !attempt.stop_requested &&
            attempt.job->spec.checkpoint_s == 0 &&
            context.now - attempt.running_since > min_runtime_s;
   });
--- a/src/core/scheduling/upcoming_capacity.cc
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -37,7 +37,7 @@
         {{machine->type_name, machine->zone, machine->spot}, AvailableOn(state, *machine)});
   }
   for (const auto& [name, scale_out] : state.scale_outs) {
-    if (scale_out->Answered()) continue;
+    if (scale_out->IsCompleted()) continue;
     const auto type = state.types.find(scale_out->type);
     if (type == state.types.end()) continue;
     AddMachines(type->second, {scale_out->type, scale_out->zone, scale_out->spot},
@@ -46,13 +46,14 @@
 }
 
 bool UpcomingCapacity::IsUpcoming(const Machine& machine) const {
-  if (!machine.Schedulable() || machine.type == nullptr || machine.from_list) return false;
+  if (!machine.Schedulable() || machine.type == nullptr || machine.known_only_from_list)
+    return false;
   if (machine.stage == MachineStage::kBooting) {
     // A machine that boots for longer may never come up.
     return context_.now - machine.requested_at <=
-           context_.state.operator_settings.boot_late * machine.type->boot_s;
+           context_.state.operator_settings.late_boot_ratio * machine.type->boot_s;
   }
-  if (machine.dispatchable && machine.acknowledged && !machine.epoch_expired) return false;
+  if (machine.dispatchable && machine.term_acknowledged && !machine.epoch_expired) return false;
   // A machine without recent heartbeats may be lost.
   return context_.now - machine.last_heartbeat_at <= context_.state.settings.lease_s / 2;
 }
--- a/src/core/token_bucket.cc
+++ b/src/core/token_bucket.cc
@@ -32,13 +32,13 @@
   return true;
 }
 
-double TokenBucket::Wait(double now, double amount, Importance importance) const {
+double TokenBucket::SecondsUntilAvailable(double now, double amount, Importance importance) const {
   const double required_tokens = std::min(amount + ReservedTokens(importance), burst_);
   const double missing_tokens = required_tokens - AvailableTokens(now);
   return missing_tokens <= kTokenTolerance ? 0 : missing_tokens / tokens_per_s_;
 }
 
-void TokenBucket::Drain(double now) {
+void TokenBucket::Empty(double now) {
   tokens_ = std::min(0.0, AvailableTokens(now));
   updated_at_ = std::max(updated_at_, now);
 }
--- a/src/core/token_bucket.h
+++ b/src/core/token_bucket.h
@@ -18,9 +18,9 @@
   // higher importance; otherwise takes none.
   bool Take(double now, double amount, Importance importance);
   // Returns the seconds until Take may succeed; 0 if it succeeds now. Does not block.
-  double Wait(double now, double amount, Importance importance) const;
+  double SecondsUntilAvailable(double now, double amount, Importance importance) const;
   // Empties the bucket, after the service has refused a call because of its rate limit.
-  void Drain(double now);
+  void Empty(double now);
   // Tokens per second.
   double rate() const { return tokens_per_s_; }
 
--- a/src/fault_injection/fakes/fake_store.cc
+++ b/src/fault_injection/fakes/fake_store.cc
@@ -65,7 +65,7 @@
   switch (fault_injector_ ? fault_injector_(body) : InjectedFault::kNormal) {
     case InjectedFault::kNormal:
       return Send(responder, CompareAndSwap(body));
-    case InjectedFault::kExecutedUnanswered:
+    case InjectedFault::kExecutedWithoutResponse:
       CompareAndSwap(body);
       unanswered_.push_back(responder);
       return;
--- a/src/fault_injection/fakes/fake_store.h
+++ b/src/fault_injection/fakes/fake_store.h
@@ -28,12 +28,12 @@
   };
   // What becomes of a compare-and-swap request.
   enum class InjectedFault {
-    kNormal,              // executed and answered
-    kExecutedUnanswered,  // executed, but the response is lost
-    kLost,                // neither executed nor answered; a test may execute it later
-    kMalformed,           // refused with 400
-    kRefused,             // refused with 503
-    kTooMany,             // refused with 429
+    kNormal,                   // executed and answered
+    kExecutedWithoutResponse,  // executed, but the response is lost
+    kLost,                     // neither executed nor answered; a test may execute it later
+    kMalformed,                // refused with 400
+    kRefused,                  // refused with 503
+    kTooMany,                  // refused with 429
   };
   // Decides for each request, given its body.
   using FaultInjector = std::function<InjectedFault(const wire::Json& request)>;
--- a/src/fault_injection/scenario_runner.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -180,7 +180,7 @@
     return FakeStore::InjectedFault::kTooMany;
   }
   if (UnderWay(FaultKind::kStoreLoses, -1) > 0) {
-    return FakeStore::InjectedFault::kExecutedUnanswered;
+    return FakeStore::InjectedFault::kExecutedWithoutResponse;
   }
   return FakeStore::InjectedFault::kNormal;
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -42,7 +42,7 @@
 
   // Makes the loop pause briefly after this many requests of normal priority in one iteration. 0
   // means no limit.
-  void PauseAfterRequests(size_t requests) { max_requests_per_iteration_ = requests; }
+  void SetMaxRequestsPerIteration(size_t requests) { max_requests_per_iteration_ = requests; }
   // Must be called by servers for each request of normal priority.
   void CountServedRequest();
 
--- a/src/rpc/rate_limited_client.cc
+++ b/src/rpc/rate_limited_client.cc
@@ -30,7 +30,7 @@
   }
   http_.Call(request.method, std::move(request.path), std::move(request.body), request.timeout_s,
              [this, done = std::move(done)](const net::Response& response) {
-               if (response.status == kTooManyRequests) tokens_.Drain(net::SteadyNow());
+               if (response.status == kTooManyRequests) tokens_.Empty(net::SteadyNow());
                done(response);
              });
 }
--- a/src/service/cloud_poller.cc
+++ b/src/service/cloud_poller.cc
@@ -97,7 +97,7 @@
   spdlog::debug("scale out {}: {} machines, outcome {}", name, machines.size(),
                 static_cast<int>(outcome));
   cluster_->WithLock([&](Cluster& cluster) {
-    cluster.OnScaleOutAnswered(name, outcome, machines, net::SteadyNow());
+    cluster.OnScaleOutResponse(name, outcome, machines, net::SteadyNow());
   });
   on_change_();
 }
--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -43,10 +43,10 @@
   std::optional<JobView> view;
   cluster_->WithLock([&](core::Cluster& cluster) {
     result = cluster.Submit(spec, now, net::WallNow());
-    view = cluster.View(spec.id);
+    view = cluster.GetJobView(spec.id);
   });
   switch (result.outcome) {
-    case SubmitOutcome::kKnown:
+    case SubmitOutcome::kAlreadyAccepted:
       return reply(JobStatus(spec.id, view->phase));
     case SubmitOutcome::kAccepted:
       spdlog::debug("job {} accepted: {} tasks of {}", spec.id, spec.tasks, spec.job_class);
@@ -68,7 +68,7 @@
 // that was submitted before.
 void JobRequests::SubmitWithoutLease(const std::string& job_id, const Reply& reply) {
   const std::optional<JobView> view = GetJobView(job_id);
-  if (view && view->final) return reply(JobStatus(job_id, view->phase));
+  if (view && view->is_final) return reply(JobStatus(job_id, view->phase));
   reply(ServiceUnavailable(kStoreUnreachable));
 }
 
@@ -123,13 +123,14 @@
 }
 
 std::optional<JobRequests::JobView> JobRequests::GetJobView(const std::string& job_id) {
-  return cluster_->WithLock([&](const core::Cluster& cluster) { return cluster.View(job_id); });
+  return cluster_->WithLock(
+      [&](const core::Cluster& cluster) { return cluster.GetJobView(job_id); });
 }
 
 JobRequests::ReportableState JobRequests::GetReportableState(const std::string& job_id) {
   const std::optional<JobView> view = GetJobView(job_id);
   const bool has_valid_lease = elector_->HasValidLease(net::SteadyNow());
-  if (view && (view->final || (has_valid_lease && view->stored))) return {view, nullptr};
+  if (view && (view->is_final || (has_valid_lease && view->stored))) return {view, nullptr};
   if (!has_valid_lease) return {std::nullopt, kStoreUnreachable};
   if (view) return {std::nullopt, kRecordNotStored};
   return {};
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -49,8 +49,8 @@
   committer_ = std::make_unique<state::Committer>(
       dependencies_.loop, dependencies_.store, *dependencies_.settings, cluster_.get(), fence_,
       std::move(records.versions),
-      state::Committer::Hooks{[this] { OnStored(); },
-                              [elector = dependencies_.elector] { elector->OnFenced(); }});
+      state::Committer::Callbacks{[this] { OnStored(); },
+                                  [elector = dependencies_.elector] { elector->OnFenced(); }});
   size_t active_jobs = 0;
   size_t machines = 0;
   cluster_->WithLock([&](core::Cluster& cluster) {
@@ -67,14 +67,14 @@
 }
 
 // A leader renews workers' leases while its own lease is valid and, unless it is isolated, for up
-// to KeepAliveLimit after, so that an outage of the state service does not stop running tasks. An
-// isolated leader must stop: its workers would not contact the new leader, which would then treat
-// their tasks as lost.
+// to LeaseRenewalGraceS after, so that an outage of the state service does not stop running tasks.
+// An isolated leader must stop: its workers would not contact the new leader, which would then
+// treat their tasks as lost.
 bool Leader::MayRenewWorkerLeases(double now) const {
   if (!is_loaded()) return false;
   const double lease_valid_until = dependencies_.elector->lease_valid_until();
   if (now < lease_valid_until) return true;
-  return now < lease_valid_until + core::Cluster::KeepAliveLimit(*dependencies_.settings) &&
+  return now < lease_valid_until + core::Cluster::LeaseRenewalGraceS(*dependencies_.settings) &&
          !dependencies_.is_isolated();
 }
 
@@ -115,7 +115,7 @@
     // team, so followers forward only at the rate that they use without a grant.
     wire::CreditGrant none;
     none.limited = true;
-    none.by_tier.resize(admission::kTiers);
+    none.by_tier.resize(admission::kTierCount);
     return none;
   }
   return cluster_->WithLock(
@@ -163,7 +163,7 @@
     work = FindPendingWork(cluster);
   });
   StartPendingWork(work);
-  if (result.reject) {
+  if (result.rejected) {
     return ServiceUnavailable("a late report");
   }
   return {200, 0, wire::CommandsBody(term_, result.commands)};
@@ -177,7 +177,7 @@
 void Leader::OnClusterChanged() { StartPendingWork(cluster_->WithLock(FindPendingWork)); }
 
 Leader::PendingWork Leader::FindPendingWork(const core::Cluster& cluster) {
-  return {cluster.NextWake(), cluster.HasQueuedRecords()};
+  return {cluster.NextCycleAt(), cluster.HasQueuedRecords()};
 }
 
 void Leader::StartPendingWork(const PendingWork& work) {
--- a/src/service/leader_forwarder.cc
+++ b/src/service/leader_forwarder.cc
@@ -47,9 +47,10 @@
 
 void LeaderForwarder::ForwardSubmission(const admission::Request& request, const std::string& body,
                                         const Reply& reply) {
-  const auto verdict = credit_gate_.Decide(request, net::SteadyNow());
-  if (!verdict.forward) {
-    return reply(TooManyRequests(verdict.retry_after_s, "more is asked than can be taken"));
+  const auto forward_decision = credit_gate_.Decide(request, net::SteadyNow());
+  if (!forward_decision.is_forwarded) {
+    return reply(
+        TooManyRequests(forward_decision.retry_after_s, "more is asked than can be taken"));
   }
   Forward({"POST", std::string(wire::kJobsPath), body}, wire::kSubmitTimeoutS,
           [this, job_id = request.id, reply](net::Response response) {
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -55,7 +55,7 @@
                .get_health = [this] { return CurrentHealth(); }}),
       public_server_(MakePublicServer()),
       peer_server_(MakePeerServer()) {
-  loop_.PauseAfterRequests(
+  loop_.SetMaxRequestsPerIteration(
       std::max(kMinRequestsPerIteration,
                static_cast<size_t>(kMaxRequestsPerIterationPerCore * settings_.core_share)));
 }
@@ -69,7 +69,7 @@
   // that is idle for the duration of a worker's lease no longer exists.
   limits.idle_timeout_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
-  limits.max_body_bytes = wire::kMaxBody;
+  limits.max_body_bytes = wire::kMaxBodyBytes;
   limits.max_persistent_connections =
       settings_.PoolSize(kSocketShareForPublicConnections, kMinPublicConnections);
   return std::make_unique<net::HttpServer>(
@@ -83,7 +83,7 @@
   net::HttpServer::Limits limits;
   limits.idle_timeout_s = settings_.lease_s;
   limits.backlog = settings_.sockets;
-  limits.max_body_bytes = 4 * wire::kMaxBody;
+  limits.max_body_bytes = 4 * wire::kMaxBodyBytes;
   limits.max_persistent_connections =
       static_cast<size_t>(settings_.sockets);  // each peer limits its own connections
   // A late response makes this node count as unreachable at its peers.
--- a/src/service/peer_client.cc
+++ b/src/service/peer_client.cc
@@ -11,7 +11,7 @@
 constexpr double kSocketShareForPeers = 0.02;
 constexpr size_t kMinConnectionsPerPeer = 2;
 constexpr size_t kMaxQueuedCallsPerPeer = 64;
-constexpr size_t kMaxResponseBytes = 8 * wire::kMaxBody;
+constexpr size_t kMaxResponseBytes = 8 * wire::kMaxBodyBytes;
 // A call that fails after at least this share of its timeout has timed out; a call that fails
 // earlier was refused.
 constexpr double kMinElapsedTimeoutShare = 0.9;
--- a/src/service/pending_requests.cc
+++ b/src/service/pending_requests.cc
@@ -32,11 +32,11 @@
   const auto it = requests_.find(job_id);
   if (it == requests_.end() || !view.stored) return;
   const std::vector<Request> completed = Extract(&it->second, [&](const Request& request) {
-    return request.kind == Kind::kSubmission || view.final;
+    return request.kind == Kind::kSubmission || view.is_final;
   });
   if (it->second.empty()) requests_.erase(it);
   for (const Request& request : completed) {
-    if (!has_valid_lease && !view.final) {
+    if (!has_valid_lease && !view.is_final) {
       request.reply(ServiceUnavailable("the leader's lease has lapsed"));
       continue;
     }
--- a/src/service/record_loader.cc
+++ b/src/service/record_loader.cc
@@ -39,7 +39,7 @@
       }
     }
   });
-  if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
+  if (page.has_more && !page.items.empty()) return LoadPage(page.items.back().key);
   on_loaded_(std::move(records_));
 }
 
--- a/src/service/scheduler_thread.cc
+++ b/src/service/scheduler_thread.cc
@@ -79,8 +79,8 @@
   bool has_queued_records = false;
   cluster->WithLock([&](core::Cluster& locked) {
     const double now = net::SteadyNow();
-    if (locked.NextWake() > now) {
-      next_wake_at = locked.NextWake();
+    if (locked.NextCycleAt() > now) {
+      next_wake_at = locked.NextCycleAt();
       return;
     }
     actions = locked.Schedule(now, now >= lease_valid_until);
--- a/src/service/user_request.cc
+++ b/src/service/user_request.cc
@@ -17,7 +17,7 @@
   }
   if (spec) return UserRequest(Submission{*std::move(spec)});
   std::string error = spec.error().ToString();
-  auto job_id = wire::SubmissionId(body);
+  auto job_id = wire::ParseSubmissionJobId(body);
   if (!job_id) return BadRequest(error);
   return UserRequest(MalformedSubmission{*std::move(job_id), std::move(error)});
 }
@@ -38,7 +38,7 @@
   if (job_id.find('/') != std::string::npos) return UnknownPath();
   if (method != (is_cancellation ? "POST" : "GET")) return MethodNotAllowed();
   // No job with an invalid id can have been accepted.
-  if (!wire::ValidJobId(job_id)) return UnknownJob();
+  if (!wire::IsValidJobId(job_id)) return UnknownJob();
   if (is_cancellation) return UserRequest(Cancellation{std::move(job_id)});
   return UserRequest(StatusQuery{std::move(job_id)});
 }
--- a/src/state/batch_builder.cc
+++ b/src/state/batch_builder.cc
@@ -12,7 +12,7 @@
 
 constexpr double kRejectedRecordExclusionRetryIntervals = 50;
 // The other half of the body is for keys, preconditions and JSON syntax.
-constexpr size_t kMaxBatchValueBytes = wire::kMaxBody / 2;
+constexpr size_t kMaxBatchValueBytes = wire::kMaxBodyBytes / 2;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   if (!cluster->HasQueuedRecords()) return {};
   Batch batch;
   batch.importance = cluster->QueuedImportance();
-  const double wait_s = write_tokens_->Wait(net::SteadyNow(), 1, batch.importance);
+  const double wait_s = write_tokens_->SecondsUntilAvailable(net::SteadyNow(), 1, batch.importance);
   if (wait_s > 0) return {std::nullopt, wait_s};
 
   const double now = net::SteadyNow();
@@ -57,7 +57,7 @@
   }
   if (!write_tokens_->Take(net::SteadyNow(), 1, cluster->ImportanceOf(key))) return false;
   // Once the key is deleted, a late copy of the batch that created it would succeed again.
-  if (!value && possibly_recreated_keys_.contains(key)) value = core::EmptiedRecord();
+  if (!value && possibly_recreated_keys_.contains(key)) value = core::TombstoneValue();
   batch->writes.push_back({key, std::move(value), std::nullopt});
   return true;
 }
--- a/src/state/committer.cc
+++ b/src/state/committer.cc
@@ -9,13 +9,13 @@
 
 Committer::Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
                      core::LockedCluster* cluster, wire::VersionPrecondition fence,
-                     std::unordered_map<std::string, uint64_t> versions, Hooks hooks)
+                     std::unordered_map<std::string, uint64_t> versions, Callbacks callbacks)
     : loop_(loop),
       store_(store),
       cluster_(cluster),
       retry_s_(settings.heartbeat_interval_s / 10),
       fence_(std::move(fence)),
-      hooks_(std::move(hooks)),
+      callbacks_(std::move(callbacks)),
       versions_(std::move(versions)),
       builder_(&versions_, &store->write_tokens(), static_cast<size_t>(settings.state_txn_ops),
                retry_s_) {}
@@ -80,7 +80,7 @@
 void Committer::OnConflict(const std::vector<std::string>& failed_keys) {
   if (std::find(failed_keys.begin(), failed_keys.end(), fence_.key) != failed_keys.end()) {
     spdlog::info("compare-and-swap fenced off: another leader was elected");
-    const auto on_fenced = hooks_.on_fenced;  // a copy: the call may destroy the committer
+    const auto on_fenced = callbacks_.on_fenced;  // a copy: the call may destroy the committer
     return on_fenced();
   }
   // Either an earlier copy of the batch was executed, or the versions in the request are outdated.
@@ -132,7 +132,7 @@
   });
   in_flight_.reset();
   const net::CallbackGuard::Token token = guard_.token();
-  hooks_.on_stored();
+  callbacks_.on_stored();
   if (token.alive()) Flush();
 }
 
--- a/src/state/committer.h
+++ b/src/state/committer.h
@@ -8,7 +8,7 @@
 //
 // Deleting a key makes the precondition "the key does not exist" true again. Therefore a key that
 // was created by a batch of unknown outcome is not deleted in the same term: its value is replaced
-// by core::EmptiedRecord. The next leader deletes the key, as its fencing version makes the late
+// by core::TombstoneValue. The next leader deletes the key, as its fencing version makes the late
 // copy fail.
 #ifndef ZINCLEAD_STATE_COMMITTER_H_
 #define ZINCLEAD_STATE_COMMITTER_H_
@@ -34,7 +34,7 @@
 // Not thread-safe: used only on the loop's thread.
 class Committer {
  public:
-  struct Hooks {
+  struct Callbacks {
     // Called after records became durable. May destroy the committer.
     std::function<void()> on_stored;
     // Called when a write fails because another leader was elected. May destroy the committer.
@@ -45,7 +45,7 @@
   // every record that exists.
   Committer(net::EventLoop* loop, StoreClient* store, const config::Settings& settings,
             core::LockedCluster* cluster, wire::VersionPrecondition fence,
-            std::unordered_map<std::string, uint64_t> versions, Hooks hooks);
+            std::unordered_map<std::string, uint64_t> versions, Callbacks callbacks);
   Committer(const Committer&) = delete;
   Committer& operator=(const Committer&) = delete;
 
@@ -76,7 +76,7 @@
   core::LockedCluster* const cluster_;
   const double retry_s_;
   const wire::VersionPrecondition fence_;
-  const Hooks hooks_;
+  const Callbacks callbacks_;
   KeyVersions versions_;
   BatchBuilder builder_;
   std::optional<Batch> in_flight_;
--- a/src/state/store_client.cc
+++ b/src/state/store_client.cc
@@ -125,7 +125,7 @@
 
 void StoreClient::OnCompareAndSwapResponse(Outcome outcome, const net::Response& response,
                                            const CompareAndSwapDone& done) {
-  if (response.status == 429) write_tokens_.Drain(net::SteadyNow());
+  if (response.status == 429) write_tokens_.Empty(net::SteadyNow());
   if (outcome == Outcome::kConflict) return done(outcome, 0, wire::ParseFailedKeys(response.body));
   if (outcome != Outcome::kOk) return done(outcome, 0, {});
   const auto revision = wire::ParseRevision(response.body);
--- a/src/wire/cloud_api.h
+++ b/src/wire/cloud_api.h
@@ -82,7 +82,7 @@
 // A page of the cloud's list.
 struct MachinePage {
   std::vector<ListedMachine> machines;  // ordered by id
-  bool more = false;                    // another page follows
+  bool has_more = false;                // another page follows
 };
 // Parses the response to GET /hosts.
 [[nodiscard]] ParseResult<MachinePage> ParseMachinePage(std::string_view body);
--- a/src/wire/labels.h
+++ b/src/wire/labels.h
@@ -39,8 +39,8 @@
      {"no_room", EndCause::kInsufficientCapacity},
      {"in_use", EndCause::kConflict},
      {"no_such", EndCause::kUnknownTask},
-     {"peers", EndCause::kPeers},
-     {"incomplete", EndCause::kIncomplete}}};
+     {"peers", EndCause::kPeerEnded},
+     {"incomplete", EndCause::kGangIncomplete}}};
 inline constexpr std::array<std::pair<const char*, CommandOp>, 3> kCommandOps{
     {{"run", CommandOp::kStart},
      {"halt", CommandOp::kStop},
--- a/src/wire/peer_messages.cc
+++ b/src/wire/peer_messages.cc
@@ -11,9 +11,9 @@
 
 // Size of the text of the largest admission::BloomFilter: two digits per byte.
 constexpr size_t kMaxFilterTextBytes = size_t{32} * 1024;
-// A request's body has at most kMaxBody; in the message it may be longer because of escaping.
-constexpr size_t kMaxForwardedRequestBodyBytes = 2 * kMaxBody;
-constexpr size_t kMaxForwardedResponseBodyBytes = 4 * kMaxBody;
+// A request's body has at most kMaxBodyBytes; in the message it may be longer because of escaping.
+constexpr size_t kMaxForwardedRequestBodyBytes = 2 * kMaxBodyBytes;
+constexpr size_t kMaxForwardedResponseBodyBytes = 4 * kMaxBodyBytes;
 
 constexpr uint64_t kMinHttpStatus = 200;
 constexpr uint64_t kMaxHttpStatus = 599;
--- a/src/wire/store_api.h
+++ b/src/wire/store_api.h
@@ -31,7 +31,7 @@
 // A page of a list of keys.
 struct StorePage {
   std::vector<StoreItem> items;  // ordered by key
-  bool more = false;             // another page follows
+  bool has_more = false;         // another page follows
   uint64_t revision = 0;         // revision of the whole store
 };
 // Parses the response to GET /store/KEY.
--- a/src/wire/user_api.cc
+++ b/src/wire/user_api.cc
@@ -51,13 +51,13 @@
 
 void CheckRanges(JsonReader* reader, const JobSpec& spec, uint64_t tasks) {
   if (!reader->ok()) return;
-  if (!ValidJobId(spec.id)) reader->Fail(field::kId, "is not a job id");
+  if (!IsValidJobId(spec.id)) reader->Fail(field::kId, "is not a job id");
   if (tasks == 0 || tasks > kMaxTasks) reader->Fail(field::kTasks, "must be from 1 to 100000");
 }
 
 }  // namespace
 
-bool ValidJobId(std::string_view id) {
+bool IsValidJobId(std::string_view id) {
   constexpr std::string_view kPrefix = "req-";
   constexpr size_t kMaxDigits = 20;
   if (!id.starts_with(kPrefix)) return false;
@@ -67,19 +67,19 @@
 }
 
 ParseResult<JobSpec> ParseSubmission(std::string_view body) {
-  if (body.size() > kMaxBody) return ParseFailure("", "body is over 64 KiB");
+  if (body.size() > kMaxBodyBytes) return ParseFailure("", "body is over 64 KiB");
   const Json json = ParseJson(body);
   if (json.is_discarded()) return ParseFailure("", "not JSON");
   return JobSpecFromJson(json);
 }
 
-std::optional<std::string> SubmissionId(std::string_view body) {
-  if (body.size() > kMaxBody) return std::nullopt;
+std::optional<std::string> ParseSubmissionJobId(std::string_view body) {
+  if (body.size() > kMaxBodyBytes) return std::nullopt;
   const Json json = ParseJson(body);
   std::string id;
   JsonReader reader(json);
   reader.String(field::kId, &id);
-  if (!reader.ok() || !ValidJobId(id)) return std::nullopt;
+  if (!reader.ok() || !IsValidJobId(id)) return std::nullopt;
   return id;
 }
 
@@ -140,7 +140,7 @@
   if (slash == std::string_view::npos) return std::nullopt;
   TaskRef ref;
   ref.job = name.substr(0, slash);
-  if (!ValidJobId(ref.job)) return std::nullopt;
+  if (!IsValidJobId(ref.job)) return std::nullopt;
   const std::string_view number = name.substr(slash + 1);
   const char* const number_end = number.data() + number.size();
   const auto [parsed_end, status] = std::from_chars(number.data(), number_end, ref.index);
--- a/src/wire/user_api.h
+++ b/src/wire/user_api.h
@@ -23,7 +23,7 @@
 inline constexpr std::string_view kHealthPath = "/healthz";
 
 // Maximum size of a request's body, in bytes.
-inline constexpr size_t kMaxBody = size_t{64} * 1024;
+inline constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
 // Maximum number of tasks of a job.
 inline constexpr uint32_t kMaxTasks = 100'000;
 // Timeouts of users for the responses to a submission and to a query, in seconds.
@@ -63,13 +63,13 @@
 };
 
 // Returns whether `id` has the form req-000412: "req-" and 1 to 20 digits.
-[[nodiscard]] bool ValidJobId(std::string_view id);
+[[nodiscard]] bool IsValidJobId(std::string_view id);
 
-// Parses the body of a submission. Fails if the body is longer than kMaxBody.
+// Parses the body of a submission. Fails if the body is longer than kMaxBodyBytes.
 [[nodiscard]] ParseResult<JobSpec> ParseSubmission(std::string_view body);
 // Returns the id in the body of a submission, even if other fields are invalid. Returns nullopt if
-// the id is missing or invalid, or the body is longer than kMaxBody.
-[[nodiscard]] std::optional<std::string> SubmissionId(std::string_view body);
+// the id is missing or invalid, or the body is longer than kMaxBodyBytes.
+[[nodiscard]] std::optional<std::string> ParseSubmissionJobId(std::string_view body);
 // Reads a job's description. The service's records use the same format. Ignores unknown fields.
 [[nodiscard]] ParseResult<JobSpec> JobSpecFromJson(const Json& json);
 // Inverse of JobSpecFromJson.
--- a/src/wire/worker_api.h
+++ b/src/wire/worker_api.h
@@ -35,9 +35,9 @@
 enum class TaskPhase : uint8_t { kFetching, kWaiting, kRunning, kSaving, kEnded };
 
 // Why a task ended. kInsufficientCapacity, kConflict (the machine has another attempt of the task)
-// and kUnknownTask: the worker refused to start the task. kPeers: another task of the gang ended.
-// kIncomplete: the other tasks of the gang did not start in time. kOther: a cause that this version
-// does not know.
+// and kUnknownTask: the worker refused to start the task. kPeerEnded: another task of the gang
+// ended. kGangIncomplete: the other tasks of the gang did not start in time. kOther: a cause that
+// this version does not know.
 enum class EndCause : uint8_t {
   kNone,
   kDone,
@@ -46,8 +46,8 @@
   kInsufficientCapacity,
   kConflict,
   kUnknownTask,
-  kPeers,
-  kIncomplete,
+  kPeerEnded,
+  kGangIncomplete,
   kOther
 };
 
--- a/tests/admission/admission_policy_test.cc
+++ b/tests/admission/admission_policy_test.cc
@@ -64,12 +64,12 @@
   const Limits limits = MakeLimits(4);
   SimulatedUsers users(limits, 1, 3);
   for (int team = 0; team < 4; ++team) {
-    for (size_t tier = 0; tier < kTiers; ++tier) {
+    for (size_t tier = 0; tier < kTierCount; ++tier) {
       for (int s = 0; s < 60; ++s) users.Add(team, tier, 1000 + s, 8);
     }
   }
   users.RunUntil(1060);
-  for (size_t tier = 0; tier < kTiers; ++tier) {
+  for (size_t tier = 0; tier < kTierCount; ++tier) {
     const double guaranteed = 60 * limits.tier_rate[tier] / kRecordsPerJob;
     // At the end, some reservations are granted whose users have not retried yet.
     const double unused_grants =
@@ -91,7 +91,7 @@
   const int bursts = *rc::gen::inRange(1, 12);
   for (int i = 0; i < bursts; ++i) {
     users.Add(
-        *rc::gen::inRange(0, teams), *rc::gen::inRange<size_t>(0, kTiers),
+        *rc::gen::inRange(0, teams), *rc::gen::inRange<size_t>(0, kTierCount),
         1000 + *rc::gen::inRange(0, 30), *rc::gen::inRange(1, 120),
         *rc::gen::element(SimulatedUsers::Retry::kAfterRetryAfter,
                           SimulatedUsers::Retry::kEverySecond, SimulatedUsers::Retry::kNever));
--- a/tests/admission/credit_gate_test.cc
+++ b/tests/admission/credit_gate_test.cc
@@ -12,7 +12,7 @@
 class CreditGateTest : public ::testing::Test {
  protected:
   bool Forwards(const std::string& id, int team, double now, size_t tier = kStandard) {
-    return gate_.Decide({id, Team(team), tier, 2}, now).forward;
+    return gate_.Decide({id, Team(team), tier, 2}, now).is_forwarded;
   }
   // Grant of a leader whose standard tier is flooded by team 0. One of the team's jobs is durable,
   // and another one is admitted but not durable.
@@ -38,8 +38,8 @@
   EXPECT_LE(forwarded, 1 + static_cast<int>(10 * limits_.fallback_rate / 3) + 1);
   EXPECT_TRUE(Forwards("req-a", 1, 10));  // each team has its own bucket
   // All unknown teams share one bucket.
-  EXPECT_TRUE(gate_.Decide({"x", "nobody", kProd, 2}, 10).forward);
-  EXPECT_FALSE(gate_.Decide({"y", "no one", kProd, 2}, 10).forward);
+  EXPECT_TRUE(gate_.Decide({"x", "nobody", kProd, 2}, 10).is_forwarded);
+  EXPECT_FALSE(gate_.Decide({"y", "no one", kProd, 2}, 10).is_forwarded);
 }
 
 TEST_F(CreditGateTest, ForwardsAllWhenTheLeaderIsOfAnOlderVersion) {
@@ -61,7 +61,7 @@
   // After a refusal by the leader, the follower refuses the id until the retry time.
   gate_.OnRefused("req-20", 7, 1);
   const auto decision = gate_.Decide({"req-20", Team(0), kStandard, 2}, 1.2);
-  EXPECT_FALSE(decision.forward);
+  EXPECT_FALSE(decision.is_forwarded);
   EXPECT_EQ(decision.retry_after_s, 7);
   gate_.OnLeaderAnnouncement(3, FloodedGrant(), 8);
   EXPECT_TRUE(Forwards("req-20", 0, 8));
--- a/tests/admission/limits_test.cc
+++ b/tests/admission/limits_test.cc
@@ -19,10 +19,11 @@
   double sum = 0;
   for (const double rate : limits.tier_rate) sum += rate;
   EXPECT_NEAR(sum, limits.rate, 1e-9);
-  for (size_t tier = 0; tier < kTiers; ++tier) EXPECT_LE(limits.WaitBound(tier), kUserRetryLimitS);
-  EXPECT_GT(Describe(limits).size(), kTiers);
+  for (size_t tier = 0; tier < kTierCount; ++tier)
+    EXPECT_LE(limits.WaitBound(tier), kUserRetryLimitS);
+  EXPECT_GT(DescribeLimits(limits).size(), kTierCount);
   operator_settings.admission.fair = 0;
-  EXPECT_EQ(Describe(DeriveLimits(settings, operator_settings)).size(), 2U);
+  EXPECT_EQ(DescribeLimits(DeriveLimits(settings, operator_settings)).size(), 2U);
 }
 
 }  // namespace
--- a/tests/admission/simulated_users.h
+++ b/tests/admission/simulated_users.h
@@ -137,7 +137,7 @@
   Decision DecideAtFollower(const Request& request, size_t node) {
     CreditGate& gate = *gates_[node];
     const auto forward_decision = gate.Decide(request, now_);
-    if (!forward_decision.forward) return {false, false, forward_decision.retry_after_s};
+    if (!forward_decision.is_forwarded) return {false, false, forward_decision.retry_after_s};
     if (isolated_followers.contains(node)) return {false, false, gate.RandomRetryWithoutLeader()};
     ++forwarded_submissions;
     const Decision decision = policy_->Decide(request, now_);
--- a/tests/attempt_counts.cc
+++ b/tests/attempt_counts.cc
@@ -38,14 +38,14 @@
     if (job.spec.kind == wire::JobKind::kArray) {
       array_use[static_cast<size_t>(job.spec.priority)] += job.request;
     }
-    if (attempt->stop) ++stopping;
+    if (attempt->stop_requested) ++stopping;
   }
   ExpectNear(machine.used, used, machine.id);
   for (size_t i = 0; i < array_use.size(); ++i) {
     ExpectNear(machine.array_use[i], array_use[i], machine.id + " arrays");
   }
   EXPECT_EQ(machine.services, services) << machine.id;
-  EXPECT_EQ(machine.stopping, stopping) << machine.id;
+  EXPECT_EQ(machine.stopping_tasks, stopping) << machine.id;
 }
 
 void ExpectJobCounts(const Job& job, const JobCounts& counts) {
--- a/tests/cluster_model.cc
+++ b/tests/cluster_model.cc
@@ -79,7 +79,8 @@
 void World::SubmitAgain(const std::string& id) {
   wire::JobSpec other = known_jobs_.at(id).spec;
   other.cpus = 1e6;
-  EXPECT_EQ(Current().cluster->Submit(other, now_, 1e6 + now_).outcome, SubmitOutcome::kKnown);
+  EXPECT_EQ(Current().cluster->Submit(other, now_, 1e6 + now_).outcome,
+            SubmitOutcome::kAlreadyAccepted);
 }
 
 void World::LoseTasks(const std::vector<std::string>& machines) {
@@ -163,7 +164,7 @@
   }
   for (const auto& [id, known] : known_jobs_) {
     if (!known.accepted) continue;
-    const auto view = Current().cluster->View(id);
+    const auto view = Current().cluster->GetJobView(id);
     if (known.spec.kind == wire::JobKind::kGang && !known.done && AllCompleted(known.spec)) {
       ++coverage.done_failovers;
     }
@@ -321,7 +322,7 @@
     const bool current = i + 1 == nodes_.size();
     if (current && now_ >= store_lost_until_) node.valid_until = now_ + 2;
     Commit(&node, current);
-    if (node.cluster->NextWake() <= now_) {
+    if (node.cluster->NextCycleAt() <= now_) {
       const bool lease_expired = now_ >= node.valid_until;
       const CloudActions cloud_actions = node.cluster->Schedule(now_, lease_expired);
       EXPECT_TRUE(!lease_expired || cloud_actions.scale_in.empty())
@@ -368,12 +369,12 @@
   ObserveCloudCalls(IndexOf(*node), cloud_actions);
   for (const auto& request : cloud_actions.scale_out) {
     if (now_ < cloud_lost_until_ || node->IsolatedWithZone(now_)) {
-      node->cluster->OnScaleOutAnswered(request.name, Cluster::ScaleOutOutcome::kUnknown, {}, now_);
+      node->cluster->OnScaleOutResponse(request.name, Cluster::ScaleOutOutcome::kUnknown, {}, now_);
       continue;
     }
     if (!provisioned_.contains(request.name)) {
       if (!scripted_ && Chance(0.15)) {
-        node->cluster->OnScaleOutAnswered(request.name, Cluster::ScaleOutOutcome::kNoCapacity, {},
+        node->cluster->OnScaleOutResponse(request.name, Cluster::ScaleOutOutcome::kNoCapacity, {},
                                           now_);
         continue;
       }
@@ -392,7 +393,7 @@
       }
     }
     const bool lost = with_faults_ && !faults_ended_ && Chance(0.2);
-    node->cluster->OnScaleOutAnswered(
+    node->cluster->OnScaleOutResponse(
         request.name,
         lost ? Cluster::ScaleOutOutcome::kUnknown : Cluster::ScaleOutOutcome::kProvisioned,
         lost ? std::vector<std::string>() : provisioned_[request.name], now_);
--- a/tests/cluster_model_observer.cc
+++ b/tests/cluster_model_observer.cc
@@ -36,7 +36,7 @@
 void World::ObserveCommands(size_t leader, const std::string& machine,
                             const Cluster::HeartbeatResult& result) const {
   if (!observer_) return;
-  if (result.reject) ObserveLine(leader, "refuse " + machine);
+  if (result.rejected) ObserveLine(leader, "refuse " + machine);
   for (const wire::Command& command : result.commands) {
     std::ostringstream text;
     text << "command " << machine << ' ' << static_cast<int>(command.op) << ' '
--- a/tests/cluster_model_oracle.cc
+++ b/tests/cluster_model_oracle.cc
@@ -23,7 +23,7 @@
 void World::CheckVisibleState(Node& node) {
   if (now_ >= node.valid_until) return;
   for (auto& [id, known] : known_jobs_) {
-    const auto view = node.cluster->View(id);
+    const auto view = node.cluster->GetJobView(id);
     if (!view || !view->stored) {
       EXPECT_FALSE(known.accepted) << id << " was forgotten";
       continue;
@@ -120,7 +120,7 @@
   std::ostringstream out;
   for (const auto& [id, known] : known_jobs_) {
     if (known.accepted && !known.done && !known.cancelled_at) {
-      const auto view = nodes_.back().cluster->View(id);
+      const auto view = nodes_.back().cluster->GetJobView(id);
       out << ToJson(known.spec) << " done " << view->done << " running " << view->running << "; ";
     }
   }
--- a/tests/cluster_model_workers.cc
+++ b/tests/cluster_model_workers.cc
@@ -140,7 +140,7 @@
     node.alive = false;  // it has learned of a newer term and steps down
     return;
   }
-  if (now_ >= node.valid_until + Cluster::KeepAliveLimit(settings_)) return;
+  if (now_ >= node.valid_until + Cluster::LeaseRenewalGraceS(settings_)) return;
   const bool lease_expired = now_ >= node.valid_until;
   if (lease_expired) {
     ++coverage.expired_leader_responses;
@@ -153,7 +153,7 @@
   Cluster::HeartbeatResult result =
       node.cluster->OnHeartbeat(flight->heartbeat, now_, lease_expired);
   ObserveCommands(flight->to, flight->heartbeat.machine, result);
-  if (result.reject || Chance(with_faults_ ? 0.05 : 0)) return;
+  if (result.rejected || Chance(with_faults_ ? 0.05 : 0)) return;
   flight->answered = true;
   flight->computed_at = now_;
   flight->answer_at = now_ + (!scripted_ && Chance(0.05) ? Uniform(0, 6) : Uniform(0, 0.2));
--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -42,7 +42,7 @@
         std::make_unique<Committer>(&loop_, client_.get(), settings_, locked_cluster_.get(),
                                     wire::VersionPrecondition{election::kLeaderKey, fence},
                                     std::unordered_map<std::string, uint64_t>(),
-                                    Committer::Hooks{[] {}, [this] { is_fenced_ = true; }});
+                                    Committer::Callbacks{[] {}, [this] { is_fenced_ = true; }});
   }
   // Runs the loop until `is_done` returns true. Returns false after a time limit.
   bool RunLoopUntil(const std::function<bool()>& is_done) {
@@ -53,7 +53,7 @@
               core::SubmitOutcome::kAccepted);
     committer_->Flush();
   }
-  bool IsDurable(const std::string& id) { return cluster_->View(id)->stored; }
+  bool IsDurable(const std::string& id) { return cluster_->GetJobView(id)->stored; }
   // Returns whether the jobs req-0 to req-(count - 1) are durable, not counting req-`excluded`.
   bool AreAllDurable(int count, int excluded = -1) {
     for (int i = 0; i < count; ++i) {
@@ -78,7 +78,7 @@
 TEST_F(CommitterTest, ReadsBackWhenACompareAndSwapGetsNoResponse) {
   int requests = 0;
   fake_store_.InjectFaults([&](const Json&) {
-    return requests++ < 1 ? FakeStore::InjectedFault::kExecutedUnanswered
+    return requests++ < 1 ? FakeStore::InjectedFault::kExecutedWithoutResponse
                           : FakeStore::InjectedFault::kNormal;
   });
   Submit("req-000001");
@@ -88,7 +88,7 @@
   // The next write of the key uses the version that was read back.
   cluster_->Cancel("req-000001");
   committer_->Flush();
-  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->View("req-000001")->final; }));
+  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->GetJobView("req-000001")->is_final; }));
 }
 
 // A record must not be reported as durable before a retry has succeeded.
@@ -115,7 +115,7 @@
   ASSERT_TRUE(RunLoopUntil([&] { return IsDurable("req-000001"); }));
   cluster_->Cancel("req-000001");
   committer_->Flush();
-  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->View("req-000001")->final; }));
+  ASSERT_TRUE(RunLoopUntil([&] { return cluster_->GetJobView("req-000001")->is_final; }));
   for (const Json& request : sent_requests) {
     EXPECT_EQ(fake_store_.CompareAndSwap(request).status, 409);
   }
@@ -147,11 +147,11 @@
   committer_->Flush();
   ASSERT_TRUE(RunLoopUntil([&] {
     return !fake_store_.entries().contains(key) ||
-           fake_store_.entries()[key].value == core::EmptiedRecord();
+           fake_store_.entries()[key].value == core::TombstoneValue();
   }));
   for (const Json& request : sent_requests) fake_store_.CompareAndSwap(request);
   EXPECT_FALSE(fake_store_.entries().contains(key) &&
-               fake_store_.entries()[key].value != core::EmptiedRecord());
+               fake_store_.entries()[key].value != core::TombstoneValue());
   // The next leader deletes the emptied record.
   core::Cluster next_leader(settings_, config::OperatorSettings(), 2, net::SteadyNow(),
                             net::WallNow(), 1);
--- a/tests/compatibility_test.cc
+++ b/tests/compatibility_test.cc
@@ -55,7 +55,7 @@
 }
 // Number of the job's finished tasks that a new leader with this value limit finds.
 uint32_t DoneIn(const Records& records, const std::string& job, double value_kb) {
-  return Leader(records, value_kb, 9)->View(job)->done;
+  return Leader(records, value_kb, 9)->GetJobView(job)->done;
 }
 // Writes one queued record. Returns false if the record exceeds the state service's value limit.
 bool StoreOne(Cluster* cluster, Records* records, double limit_kb, double now) {
@@ -80,13 +80,13 @@
 
 TEST_P(OlderVersion, RecordsAreLoaded) {
   const auto leader = Leader(FixtureRecords(GetParam()), kLoweredKb, 4);
-  EXPECT_EQ(leader->View("req-000001")->done, 300U);
-  EXPECT_EQ(leader->View("req-000002")->phase, wire::JobPhase::kPending);
+  EXPECT_EQ(leader->GetJobView("req-000001")->done, 300U);
+  EXPECT_EQ(leader->GetJobView("req-000002")->phase, wire::JobPhase::kPending);
   EXPECT_EQ(leader->jobs().at("req-000002")->spec.kind, wire::JobKind::kGang);
-  EXPECT_EQ(leader->View("req-000003")->phase, wire::JobPhase::kPending);
-  EXPECT_EQ(leader->View("req-000004")->phase, wire::JobPhase::kDone);
-  EXPECT_EQ(leader->View("req-000005")->phase, wire::JobPhase::kCancelled);
-  EXPECT_EQ(leader->View("req-000006")->done, 60U);
+  EXPECT_EQ(leader->GetJobView("req-000003")->phase, wire::JobPhase::kPending);
+  EXPECT_EQ(leader->GetJobView("req-000004")->phase, wire::JobPhase::kDone);
+  EXPECT_EQ(leader->GetJobView("req-000005")->phase, wire::JobPhase::kCancelled);
+  EXPECT_EQ(leader->GetJobView("req-000006")->done, 60U);
   EXPECT_EQ(leader->machines().size(), 3U);
   EXPECT_TRUE(leader->machines().at("i-000001")->dispatchable);
   EXPECT_TRUE(leader->HasMachineTypes());
@@ -199,9 +199,9 @@
   while (leader->HasQueuedRecords()) StoreOne(leader.get(), &records, kLoweredKb, 200);
   ASSERT_EQ(leader->Cancel("req-000009"), CancelOutcome::kPendingStore);
   ASSERT_TRUE(StoreOne(leader.get(), &records, kLoweredKb, 200));
-  EXPECT_EQ(leader->View("req-000009")->phase, wire::JobPhase::kCancelled);
+  EXPECT_EQ(leader->GetJobView("req-000009")->phase, wire::JobPhase::kCancelled);
   const auto next_leader = Leader(records, GetParam().value_kb, 5);
-  EXPECT_EQ(next_leader->View("req-000009")->phase, wire::JobPhase::kCancelled);
+  EXPECT_EQ(next_leader->GetJobView("req-000009")->phase, wire::JobPhase::kCancelled);
   EXPECT_EQ(next_leader->jobs().at("req-000009")->spec.cpus, spec.cpus);
 }
 
@@ -246,8 +246,8 @@
   static constexpr int kFaultSteps = 150;
 
   bool IsJobFinal() const {
-    const auto view = leader_->View("req-1");
-    return view && view->final;
+    const auto view = leader_->GetJobView("req-1");
+    return view && view->is_final;
   }
 
   // Fails over to a leader with this value limit, or a random one if it is 0.
@@ -262,7 +262,7 @@
     value_kb_ = value_kb;
     leader_ = Leader(records_, value_kb, ++term_, now_);
     leader_->OnMachineTypes({testing::MakeType("c4", 4, 1.0)});
-    if (const auto view = leader_->View("req-1")) {
+    if (const auto view = leader_->GetJobView("req-1")) {
       ASSERT_GE(view->done, stored_completions_) << "stored completions are lost";
     }
   }
@@ -311,7 +311,7 @@
       if (!StoreOne(leader_.get(), &records_, limit_kb_, now_)) ++rejected_writes;
     }
     for (const std::string& key : delayed) leader_->Requeue(key);
-    const auto view = leader_->View("req-1");
+    const auto view = leader_->GetJobView("req-1");
     is_job_stored_ = view && view->stored;
     if (is_job_stored_) stored_completions_ = std::max(stored_completions_, view->done);
   }
--- a/tests/config/operator_settings_test.cc
+++ b/tests/config/operator_settings_test.cc
@@ -55,8 +55,8 @@
   EXPECT_EQ(settings->admission.best_effort_weight, 13);
   EXPECT_EQ(settings->idle_s, 14);
   EXPECT_EQ(settings->scale_out_rate_share, 0.15);
-  EXPECT_EQ(settings->boot_give_up, 16);
-  EXPECT_EQ(settings->boot_late, 17);
+  EXPECT_EQ(settings->boot_timeout_ratio, 16);
+  EXPECT_EQ(settings->late_boot_ratio, 17);
   EXPECT_EQ(settings->leader_lease_share, 0.18);
 }
 
--- a/tests/core/durable_state_test.cc
+++ b/tests/core/durable_state_test.cc
@@ -64,10 +64,10 @@
     SendHeartbeat("i-1", &tasks);
     SendHeartbeat("i-1", &tasks);
   }
-  EXPECT_EQ(cluster_->View("req-1")->done, 12U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->done, 12U);
   for (const auto& [key, value] : store_) EXPECT_LE(value.dump().size(), settings_.ValueBytes());
   Restart();
-  EXPECT_EQ(cluster_->View("req-1")->done, 12U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->done, 12U);
 }
 
 }  // namespace
--- a/tests/core/failover_test.cc
+++ b/tests/core/failover_test.cc
@@ -18,7 +18,7 @@
   std::map<std::string, wire::TaskStatus> tasks;
   RunOneTask(&tasks);
   Restart();
-  const double all_leases_end = now_ + Cluster::KeepAliveLimit(settings_) + settings_.lease_s;
+  const double all_leases_end = now_ + Cluster::LeaseRenewalGraceS(settings_) + settings_.lease_s;
   std::map<std::string, wire::TaskStatus> none;
   fencing_token_ = 0;
   BringUp("i-2", &none);
@@ -51,8 +51,8 @@
   EXPECT_TRUE(cluster_->reconciled());
 }
 
-// A machine that fails during a failover must not delay its services for KeepAliveLimit plus its
-// lease.
+// A machine that fails during a failover must not delay its services for LeaseRenewalGraceS plus
+// its lease.
 TEST_F(CoreTest, InheritedServicesAreFreedWhenTheSilentMachineIsTerminated) {
   std::map<std::string, wire::TaskStatus> tasks;
   wire::JobSpec spec = testing::MakeJob("req-1");
@@ -85,8 +85,8 @@
     cluster_->Schedule(now_);  // the cloud does not respond
   }
   EXPECT_TRUE(cluster_->reconciled());
-  EXPECT_GT(now_, began_at + Cluster::KeepAliveLimit(settings_) + settings_.lease_s);
-  EXPECT_LT(now_, began_at + Cluster::KeepAliveLimit(settings_) + 4 * settings_.lease_s);
+  EXPECT_GT(now_, began_at + Cluster::LeaseRenewalGraceS(settings_) + settings_.lease_s);
+  EXPECT_LT(now_, began_at + Cluster::LeaseRenewalGraceS(settings_) + 4 * settings_.lease_s);
 }
 
 }  // namespace
--- a/tests/core/heartbeat_test.cc
+++ b/tests/core/heartbeat_test.cc
@@ -37,9 +37,9 @@
   wire::Heartbeat heartbeat = MakeHeartbeat("i-1", term_);
   heartbeat.tasks = {task};
   EXPECT_TRUE(cluster_->OnHeartbeat(heartbeat, now_).commands.empty());
-  EXPECT_NE(cluster_->View("req-1")->phase, wire::JobPhase::kDone);
+  EXPECT_NE(cluster_->GetJobView("req-1")->phase, wire::JobPhase::kDone);
   Store();
-  EXPECT_EQ(cluster_->View("req-1")->phase, wire::JobPhase::kDone);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->phase, wire::JobPhase::kDone);
   SendHeartbeat("i-1", &tasks);
   EXPECT_TRUE(tasks.empty());
 }
@@ -62,7 +62,7 @@
   returned.agent_epoch = 2;
   returned.tasks = {elsewhere.begin()->second};
   Restart();
-  EXPECT_TRUE(cluster_->OnHeartbeat(copy, now_).reject);
+  EXPECT_TRUE(cluster_->OnHeartbeat(copy, now_).rejected);
   cluster_->OnHeartbeat(idle_copy, now_);
   EXPECT_FALSE(cluster_->machines().contains("i-1")) << "i-1 was adopted from a delayed heartbeat";
   Store();
@@ -71,10 +71,10 @@
   EXPECT_TRUE(cluster_->reconciled());
   // Machine i-2 has restarted with its counters reset; the copy from before shows a later agent
   // epoch.
-  EXPECT_TRUE(cluster_->OnHeartbeat(returned, now_).reject);
+  EXPECT_TRUE(cluster_->OnHeartbeat(returned, now_).rejected);
   EXPECT_EQ(cluster_->jobs().at("req-1")->pending, 0U);
   SendHeartbeat("i-2", &elsewhere);
-  EXPECT_EQ(cluster_->View("req-1")->running, 1U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->running, 1U);
 }
 
 // If a copy of a heartbeat arrives before the original, the worker discards one response; the start
@@ -87,11 +87,11 @@
   now_ += 1;
   const wire::Heartbeat heartbeat = MakeHeartbeat("i-1", term_);
   EXPECT_EQ(cluster_->OnHeartbeat(heartbeat, now_).commands.size(), 1U);  // this response is lost
-  EXPECT_TRUE(cluster_->OnHeartbeat(heartbeat, now_).reject);
+  EXPECT_TRUE(cluster_->OnHeartbeat(heartbeat, now_).rejected);
   SendHeartbeat("i-1", &tasks);
   EXPECT_EQ(tasks.size(), 1U);
   SendHeartbeat("i-1", &tasks);
-  EXPECT_EQ(cluster_->View("req-1")->running, 1U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->running, 1U);
 }
 
 }  // namespace
--- a/tests/core/placement_test.cc
+++ b/tests/core/placement_test.cc
@@ -55,7 +55,7 @@
   for (const auto& [id, job] : cluster_->jobs()) {
     if (job->pending == 0) continue;
     for (const auto& [name, machine] : cluster_->machines()) {
-      if (machine->stage != MachineStage::kUp || !machine->acknowledged ||
+      if (machine->stage != MachineStage::kUp || !machine->term_acknowledged ||
           !machine->Schedulable()) {
         continue;
       }
@@ -147,7 +147,7 @@
   // Services whose start was sent are not moved.
   for (auto& [id, machine_tasks] : tasks) SendHeartbeat(id, &machine_tasks);
   EXPECT_EQ(tasks["i-3"].size() + tasks["i-2"].size(), 6U);
-  EXPECT_EQ(cluster_->View("req-1")->running, 6U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->running, 6U);
   // A service waits for a machine that has its image rather than move to one that must fetch it.
   spec = testing::MakeJob("req-2");
   spec.kind = wire::JobKind::kService;
@@ -181,7 +181,7 @@
   while (tasks.size() == 1 && now_ < failed_at + 90) {
     SendHeartbeat("i-1", &tasks);
     for (const auto& request : cluster_->Schedule(now_).scale_out) {
-      cluster_->OnScaleOutAnswered(request.name, Cluster::ScaleOutOutcome::kNoCapacity, {}, now_);
+      cluster_->OnScaleOutResponse(request.name, Cluster::ScaleOutOutcome::kNoCapacity, {}, now_);
     }
     Store();
   }
--- a/tests/core/scale_out_test.cc
+++ b/tests/core/scale_out_test.cc
@@ -16,7 +16,7 @@
   Store();
   const CloudActions actions = cluster_->Schedule(now_);
   ASSERT_EQ(actions.scale_out.size(), 1U);
-  cluster_->OnScaleOutAnswered(actions.scale_out[0].name, Cluster::ScaleOutOutcome::kProvisioned,
+  cluster_->OnScaleOutResponse(actions.scale_out[0].name, Cluster::ScaleOutOutcome::kProvisioned,
                                {"i-1"}, now_);
   Store();
   const double requested_at = cluster_->machines().at("i-1")->requested_at;
--- a/tests/core/service_consolidation_test.cc
+++ b/tests/core/service_consolidation_test.cc
@@ -46,11 +46,11 @@
   while (now_ < started_at + 20 * settings_.lease_s && scaled_in.empty()) {
     for (const std::string& id : cluster_->Schedule(now_).scale_in) scaled_in.insert(id);
     for (auto& [machine, machine_tasks] : tasks) SendHeartbeat(machine, &machine_tasks);
-    max_tasks_down = std::max(max_tasks_down, 62 - cluster_->View("req-1")->running + 1 -
-                                                  cluster_->View("req-3")->running);
+    max_tasks_down = std::max(max_tasks_down, 62 - cluster_->GetJobView("req-1")->running + 1 -
+                                                  cluster_->GetJobView("req-3")->running);
   }
   EXPECT_EQ(scaled_in, std::set<std::string>{"i-117"});
-  EXPECT_EQ(cluster_->View("req-3")->running, 1U);
+  EXPECT_EQ(cluster_->GetJobView("req-3")->running, 1U);
   EXPECT_LE(max_tasks_down, 1U);
 }
 
@@ -89,7 +89,7 @@
     send_all_heartbeats();
     size_t tasks_down = 0;
     for (int i = 1; i < 2 * kMachines; i += 2) {
-      tasks_down += 2 - cluster_->View("req-" + std::to_string(100 + i))->running;
+      tasks_down += 2 - cluster_->GetJobView("req-" + std::to_string(100 + i))->running;
     }
     max_tasks_down = std::max(max_tasks_down, tasks_down);
   }
--- a/tests/core/submission_test.cc
+++ b/tests/core/submission_test.cc
@@ -34,11 +34,11 @@
   EXPECT_EQ(Submit(spec), SubmitOutcome::kAccepted);
   EXPECT_EQ(Submit(spec), SubmitOutcome::kPendingStore);
   Store();
-  EXPECT_EQ(Submit(spec), SubmitOutcome::kKnown);
+  EXPECT_EQ(Submit(spec), SubmitOutcome::kAlreadyAccepted);
   operator_settings_.max_active_jobs = 1;
   Restart();
   EXPECT_EQ(Submit(testing::MakeJob("req-2")), SubmitOutcome::kBusy);
-  EXPECT_EQ(Submit(spec), SubmitOutcome::kKnown);
+  EXPECT_EQ(Submit(spec), SubmitOutcome::kAlreadyAccepted);
 }
 
 // One team must not use up the limit on active jobs: half of it is divided equally among the teams.
--- a/tests/core/token_bucket_test.cc
+++ b/tests/core/token_bucket_test.cc
@@ -21,8 +21,9 @@
   for (const int wait_ms : waits_ms) {
     now += wait_ms / 1000.0;
     const auto importance = static_cast<Importance>(*rc::gen::inRange(0, 4));
-    const bool is_available = bucket.Wait(now, 1, importance) <= 0;
-    RC_ASSERT(bucket.Wait(now, 1, Importance::kLeadership) <= bucket.Wait(now, 1, importance));
+    const bool is_available = bucket.SecondsUntilAvailable(now, 1, importance) <= 0;
+    RC_ASSERT(bucket.SecondsUntilAvailable(now, 1, Importance::kLeadership) <=
+              bucket.SecondsUntilAvailable(now, 1, importance));
     const bool is_taken = bucket.Take(now, 1, importance);
     RC_ASSERT(is_taken == is_available);
     if (is_taken) ++taken_tokens;
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -64,7 +64,7 @@
     wire::Heartbeat heartbeat = MakeHeartbeat(id, fencing_token_);
     for (const auto& [name, task] : *tasks) heartbeat.tasks.push_back(task);
     const auto result = cluster_->OnHeartbeat(heartbeat, now_);
-    EXPECT_FALSE(result.reject);
+    EXPECT_FALSE(result.rejected);
     fencing_token_ = term_;
     for (const auto& command : result.commands) {
       const std::string name = wire::TaskName(command.task.job, command.task.index);
--- a/tests/cycle_rate_limiter_test.cc
+++ b/tests/cycle_rate_limiter_test.cc
@@ -16,7 +16,7 @@
   // Runs a cycle that takes `cycle_s` seconds. Returns the seconds until the next cycle may run.
   double PauseAfter(double cycle_s) {
     limiter_.Run(kNow, [&] { clock_ += cycle_s; });
-    return limiter_.next_at() - kNow;
+    return limiter_.next_cycle_at() - kNow;
   }
   const config::Settings settings_ = testing::MakeSettings();
   const config::OperatorSettings operator_settings_{};
@@ -44,7 +44,7 @@
   bool has_run = false;
   limiter.Run(kNow, [&] { has_run = true; });
   EXPECT_TRUE(has_run);
-  EXPECT_NEAR(limiter.next_at() - kNow, 0.05 * settings.heartbeat_interval_s, 1e-9);
+  EXPECT_NEAR(limiter.next_cycle_at() - kNow, 0.05 * settings.heartbeat_interval_s, 1e-9);
 }
 
 }  // namespace
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -23,45 +23,45 @@
 
 TEST(Gang, EachEventInEachState) {
   const Transition table[] = {
-      {State::kPlacing, Event::kPlaced, State::kWaiting},
-      {State::kPlacing, Event::kAdopted, State::kWaiting},
-      {State::kPlacing, Event::kSeenRunning, State::kPlacing},
-      {State::kPlacing, Event::kTaskLost, State::kPlacing},
-      {State::kPlacing, Event::kGaveUp, State::kPlacing},
-      {State::kPlacing, Event::kStopWanted, State::kPlacing},
-      {State::kPlacing, Event::kCleared, State::kPlacing},
-      {State::kPlacing, Event::kDone, State::kEnded},
+      {State::kUnplaced, Event::kPlaced, State::kWaiting},
+      {State::kUnplaced, Event::kAdopted, State::kWaiting},
+      {State::kUnplaced, Event::kReportedRunning, State::kUnplaced},
+      {State::kUnplaced, Event::kTaskLost, State::kUnplaced},
+      {State::kUnplaced, Event::kStartTimeout, State::kUnplaced},
+      {State::kUnplaced, Event::kStopRequested, State::kUnplaced},
+      {State::kUnplaced, Event::kAllTasksReleased, State::kUnplaced},
+      {State::kUnplaced, Event::kDone, State::kEnded},
       {State::kWaiting, Event::kPlaced, State::kWaiting},
       {State::kWaiting, Event::kAdopted, State::kWaiting},
-      {State::kWaiting, Event::kSeenRunning, State::kRunning},
+      {State::kWaiting, Event::kReportedRunning, State::kRunning},
       {State::kWaiting, Event::kTaskLost, State::kWaiting},
-      {State::kWaiting, Event::kGaveUp, State::kStopping},
-      {State::kWaiting, Event::kStopWanted, State::kStopping},
-      {State::kWaiting, Event::kCleared, State::kPlacing},
+      {State::kWaiting, Event::kStartTimeout, State::kStopping},
+      {State::kWaiting, Event::kStopRequested, State::kStopping},
+      {State::kWaiting, Event::kAllTasksReleased, State::kUnplaced},
       {State::kWaiting, Event::kDone, State::kEnded},
       {State::kRunning, Event::kPlaced, State::kRunning},
       {State::kRunning, Event::kAdopted, State::kRunning},
-      {State::kRunning, Event::kSeenRunning, State::kRunning},
+      {State::kRunning, Event::kReportedRunning, State::kRunning},
       {State::kRunning, Event::kTaskLost, State::kStopping},
-      {State::kRunning, Event::kGaveUp, State::kStopping},
-      {State::kRunning, Event::kStopWanted, State::kStopping},
-      {State::kRunning, Event::kCleared, State::kPlacing},
+      {State::kRunning, Event::kStartTimeout, State::kStopping},
+      {State::kRunning, Event::kStopRequested, State::kStopping},
+      {State::kRunning, Event::kAllTasksReleased, State::kUnplaced},
       {State::kRunning, Event::kDone, State::kEnded},
       {State::kStopping, Event::kPlaced, State::kStopping},
       {State::kStopping, Event::kAdopted, State::kStopping},
-      {State::kStopping, Event::kSeenRunning, State::kStopping},
+      {State::kStopping, Event::kReportedRunning, State::kStopping},
       {State::kStopping, Event::kTaskLost, State::kStopping},
-      {State::kStopping, Event::kGaveUp, State::kStopping},
-      {State::kStopping, Event::kStopWanted, State::kStopping},
-      {State::kStopping, Event::kCleared, State::kPlacing},
+      {State::kStopping, Event::kStartTimeout, State::kStopping},
+      {State::kStopping, Event::kStopRequested, State::kStopping},
+      {State::kStopping, Event::kAllTasksReleased, State::kUnplaced},
       {State::kStopping, Event::kDone, State::kEnded},
       {State::kEnded, Event::kPlaced, State::kEnded},
       {State::kEnded, Event::kAdopted, State::kEnded},
-      {State::kEnded, Event::kSeenRunning, State::kEnded},
+      {State::kEnded, Event::kReportedRunning, State::kEnded},
       {State::kEnded, Event::kTaskLost, State::kEnded},
-      {State::kEnded, Event::kGaveUp, State::kEnded},
-      {State::kEnded, Event::kStopWanted, State::kEnded},
-      {State::kEnded, Event::kCleared, State::kEnded},
+      {State::kEnded, Event::kStartTimeout, State::kEnded},
+      {State::kEnded, Event::kStopRequested, State::kEnded},
+      {State::kEnded, Event::kAllTasksReleased, State::kEnded},
       {State::kEnded, Event::kDone, State::kEnded},
   };
   for (const auto& [from, event, to] : table) {
@@ -73,13 +73,13 @@
 TEST(Gang, TasksAreReplacedOnlyWhenTheAttemptIsOwnAndHasNotRun) {
   Gang own;
   own.OnPlaced(7);
-  EXPECT_TRUE(own.MayReplace());
-  own.On(Event::kSeenRunning);
-  EXPECT_FALSE(own.MayReplace());
+  EXPECT_TRUE(own.MayReplaceLostTask());
+  own.Apply(Event::kReportedRunning);
+  EXPECT_FALSE(own.MayReplaceLostTask());
   Gang inherited;
   inherited.OnAdopted(7);
   EXPECT_EQ(inherited.attempt(), 7U);
-  EXPECT_FALSE(inherited.MayReplace());
+  EXPECT_FALSE(inherited.MayReplaceLostTask());
   inherited.OnAdopted(7);
   EXPECT_EQ(inherited.state(), State::kWaiting);
   inherited.OnAdopted(8);  // tasks of two attempts never run together
@@ -196,7 +196,7 @@
   SetPhase(&first_, wire::TaskPhase::kWaiting);
   SetPhase(&second_, wire::TaskPhase::kFetching);
   SendHeartbeat("i-2", &second_);
-  End(&first_, wire::EndCause::kIncomplete);
+  End(&first_, wire::EndCause::kGangIncomplete);
   const uint64_t attempt = Only(&first_).attempt;
   SendHeartbeat("i-1", &first_);
   EXPECT_TRUE(Has(SendHeartbeat("i-2", &second_), wire::CommandOp::kStop));
@@ -220,7 +220,7 @@
   StartTwo();
   SendHeartbeat("i-1", &first_);
   SendHeartbeat("i-2", &second_);
-  End(&second_, wire::EndCause::kPeers);
+  End(&second_, wire::EndCause::kPeerEnded);
   SendHeartbeat("i-2", &second_);
   for (int i = 0; i < 20; ++i) {
     // The first machine goes on listing it as running, whatever command it receives.
@@ -233,9 +233,12 @@
     EXPECT_FALSE(Has(SendHeartbeat("i-1", &first_), wire::CommandOp::kStart));
     EXPECT_FALSE(Has(SendHeartbeat("i-2", &second_), wire::CommandOp::kStart));
   }
-  first_ = {
-      {"req-1/0",
-       {{"req-1", 0}, MakeAttempt(1, 1), wire::TaskPhase::kEnded, wire::EndCause::kPeers, false}}};
+  first_ = {{"req-1/0",
+             {{"req-1", 0},
+              MakeAttempt(1, 1),
+              wire::TaskPhase::kEnded,
+              wire::EndCause::kPeerEnded,
+              false}}};
 }
 
 // One done means that all are, whichever machine lists it first, and a new leader that
@@ -246,10 +249,10 @@
   End(&first_, wire::EndCause::kDone);
   Restart();
   fencing_token_ = term_ - 1;
-  EXPECT_EQ(cluster_->View("req-1")->done, 0U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->done, 0U);
   SendHeartbeat("i-1", &first_);
-  EXPECT_EQ(cluster_->View("req-1")->phase, wire::JobPhase::kDone);
-  EXPECT_EQ(cluster_->View("req-1")->done, 2U);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->phase, wire::JobPhase::kDone);
+  EXPECT_EQ(cluster_->GetJobView("req-1")->done, 2U);
 }
 
 // A machine that the cloud reclaims is left by the gang as a whole, with time to save for each
@@ -294,7 +297,7 @@
   StartTwo();
   SetPhase(&first_, wire::TaskPhase::kWaiting);
   SendHeartbeat("i-1", &first_);
-  End(&second_, wire::EndCause::kPeers);
+  End(&second_, wire::EndCause::kPeerEnded);
   SendHeartbeat("i-2", &second_);
   EXPECT_TRUE(Has(SendHeartbeat("i-1", &first_), wire::CommandOp::kStop));
 }
@@ -341,7 +344,7 @@
       SendHeartbeat("i-1", &first_);
       SendHeartbeat("i-2", &second_);
     }
-    EXPECT_EQ(cluster_->View("req-1")->phase, wire::JobPhase::kDone);
+    EXPECT_EQ(cluster_->GetJobView("req-1")->phase, wire::JobPhase::kDone);
     wire::JobSpec array = testing::MakeJob("req-2", 8);
     Submit(array);
     Store();
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -105,7 +105,7 @@
   constexpr size_t kClients = 20;
   constexpr double kMinPauseS = 0.001;
   net::EventLoop server_loop;
-  server_loop.PauseAfterRequests(kRequestsPerIteration);
+  server_loop.SetMaxRequestsPerIteration(kRequestsPerIteration);
   std::vector<double> served_at;
   net::HttpServer server(&server_loop, "127.0.0.1", 0, {1024, kClients, 128, 60},
                          [&](const net::ServerRequest&, const net::ResponderPtr& responder) {
--- a/tests/pending_requests_test.cc
+++ b/tests/pending_requests_test.cc
@@ -23,7 +23,7 @@
   static core::Cluster::JobView MakeView(bool is_stored, bool has_ended) {
     core::Cluster::JobView view;
     view.stored = is_stored;
-    view.final = has_ended;
+    view.is_final = has_ended;
     if (has_ended) view.phase = wire::JobPhase::kCancelled;
     return view;
   }
--- a/tests/scheduler_thread_test.cc
+++ b/tests/scheduler_thread_test.cc
@@ -69,7 +69,7 @@
     return cluster->WithLock([&](core::Cluster& locked) {
       EXPECT_EQ(locked.Submit(testing::MakeJob(id), net::SteadyNow(), net::WallNow()).outcome,
                 core::SubmitOutcome::kAccepted);
-      return locked.NextWake();
+      return locked.NextCycleAt();
     });
   }
 
--- a/tests/simulated_gangs.cc
+++ b/tests/simulated_gangs.cc
@@ -32,7 +32,7 @@
   Attempt& attempt = attempts_[{spec.id, number}];
   for (const Member& member : members) {
     if (member.hung || member.task->peers_at < 0 || now < member.task->peers_at) continue;
-    member.task->End(wire::EndCause::kPeers);
+    member.task->End(wire::EndCause::kPeerEnded);
     ++coverage.peers;
   }
   if (!attempt.running) {
@@ -70,7 +70,7 @@
     }
     if (task->phase != wire::TaskPhase::kWaiting) continue;
     if (now - task->waiting_since > settings_.gang_wait_s) {
-      task->End(wire::EndCause::kIncomplete);
+      task->End(wire::EndCause::kGangIncomplete);
       ++coverage.incomplete;
     } else {
       waiting.insert(member.index);
--- a/tests/unreachable_machine.h
+++ b/tests/unreachable_machine.h
@@ -35,7 +35,7 @@
     heartbeat.agent_epoch = agent_epoch_;
     heartbeat.sequence = ++sequence_;
     heartbeat.fencing_token = fencing_token_;
-    return !cluster_->OnHeartbeat(heartbeat, now).reject;
+    return !cluster_->OnHeartbeat(heartbeat, now).rejected;
   }
 
  private:
--- a/tests/user_request_test.cc
+++ b/tests/user_request_test.cc
@@ -74,9 +74,9 @@
       const int status = StatusOf(parsed);
       RC_ASSERT(status == 400 || status == 404 || status == 405);
     } else if (const auto query = Get<StatusQuery>(parsed)) {
-      RC_ASSERT(wire::ValidJobId(query->job_id));
+      RC_ASSERT(wire::IsValidJobId(query->job_id));
     } else if (const auto cancellation = Get<Cancellation>(parsed)) {
-      RC_ASSERT(wire::ValidJobId(cancellation->job_id));
+      RC_ASSERT(wire::IsValidJobId(cancellation->job_id));
     }
   });
 }
--- a/tests/wire/field_names_test.cc
+++ b/tests/wire/field_names_test.cc
@@ -103,8 +103,8 @@
   EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kInsufficientCapacity), "ended no_room");
   EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kConflict), "ended in_use");
   EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kUnknownTask), "ended no_such");
-  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kPeers), "ended peers");
-  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kIncomplete), "ended incomplete");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kPeerEnded), "ended peers");
+  EXPECT_EQ(labels_of(TaskPhase::kEnded, EndCause::kGangIncomplete), "ended incomplete");
 }
 
 TEST(WorkerApiBytes, MatchProtocolWhenCommandsAreSerialized) {
@@ -151,7 +151,7 @@
       R"({"anvils":[{"uid":"i-1","address":"x:1","alloy":"g8","yard":"a","scrap":true,)"
       R"("phase":"failed","heldS":4.5}],"truncated":true})");
   ASSERT_TRUE(page) << page.error().ToString();
-  EXPECT_TRUE(page->more);
+  EXPECT_TRUE(page->has_more);
   const ListedMachine& machine = page->machines.at(0);
   EXPECT_EQ(machine.id + " " + machine.address + " " + machine.type + " " + machine.zone,
             "i-1 x:1 g8 a");
@@ -191,7 +191,7 @@
   ASSERT_TRUE(page) << page.error().ToString();
   EXPECT_EQ(page->items.at(0).key, "c/a");
   EXPECT_EQ(page->revision, 431U);
-  EXPECT_TRUE(page->more);
+  EXPECT_TRUE(page->has_more);
   EXPECT_EQ(ParseRevision(R"({"ledger":432})").value(), 432U);
   EXPECT_EQ(ParseLease(R"({"tenure":7})").value(), 7U);
   EXPECT_EQ(ParseFailedKeys(R"({"failed":["a/b"],"ledger":431})"), std::vector<std::string>{"a/b"});
--- a/tests/wire/user_api_test.cc
+++ b/tests/wire/user_api_test.cc
@@ -80,7 +80,7 @@
   json["shards"] = 100'000;
   json["uid"] = "job-1";
   EXPECT_FALSE(ParseSubmission(json.dump()));
-  EXPECT_FALSE(ParseSubmission(std::string(kMaxBody + 1, ' ')));
+  EXPECT_FALSE(ParseSubmission(std::string(kMaxBodyBytes + 1, ' ')));
 }
 
 TEST(Submission, ErrorNamesTheFieldAndTheReason) {
@@ -105,7 +105,7 @@
   EXPECT_EQ(error_with("alloys", Json::array({8})), "alloys must be a list of strings");
   EXPECT_EQ(ParseSubmission("{").error().ToString(), "not JSON");
   EXPECT_EQ(ParseSubmission("[]").error().ToString(), "not a JSON object");
-  EXPECT_EQ(ParseSubmission(std::string(kMaxBody + 1, ' ')).error().ToString(),
+  EXPECT_EQ(ParseSubmission(std::string(kMaxBodyBytes + 1, ' ')).error().ToString(),
             "body is over 64 KiB");
 }
 
