--- a/tests/committer_test.cc
+++ b/tests/committer_test.cc
@@ -129,7 +129,7 @@
   fake_store_.InjectFaults([&](const Json& request) {
     sent_requests.push_back(request);
     // The first request gets no response and is still in flight.
-    return sent_requests.size() == 1 ? FakeStore::InjectedFault::kLost
+    return sent_requests.size() == 1 ? FakeStore::InjectedFault::kNotExecutedWithoutResponse
                                      : FakeStore::InjectedFault::kNormal;
   });
   wire::Heartbeat heartbeat;
@@ -192,7 +192,7 @@
   fake_store_.InjectFaults([&](const Json&) {
     if (++requests % 4 == 0) return FakeStore::InjectedFault::kNormal;
     ++refused_requests;
-    return FakeStore::InjectedFault::kTooMany;
+    return FakeStore::InjectedFault::kTooManyRequests;
   });
   const double started_at = net::SteadyNow();
   for (int i = 0; i < kRecords; ++i) Submit("req-" + std::to_string(i));
