--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -46,7 +46,7 @@
   } else if (level == "debug") {
     spdlog::set_level(spdlog::level::debug);
   } else if (level != "info") {
-    spdlog::warn("LOG_LEVEL {} is not error, info or debug; using info", level);
+    spdlog::warn("logging: LOG_LEVEL is not error, info or debug; using info: level=\"{}\"", level);
   }
 }
 
@@ -93,7 +93,7 @@
   SetUpLogging();
   try {
     zinclead::service::Node node(settings, operator_settings);
-    spdlog::info("node {} in zone {} listens on {}", settings.node, settings.zone,
+    spdlog::info("node: listening: node={} zone={} address={}", settings.node, settings.zone,
                  settings.listen.ToString());
     node.Run();
   } catch (const std::exception& error) {
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -68,7 +68,9 @@
       return done(ScaleOutResult::kUnknown, {});
     }
     case 400:
-      spdlog::error("cloud: scale-out request refused as malformed: {}", response.body);
+      spdlog::error(
+          "cloud: scale-out request rejected as malformed; handling it as no capacity: body=\"{}\"",
+          response.body);
       return done(ScaleOutResult::kNoCapacity, {});
     case 503:
       return done(wire::IsNoCapacity(response.body) ? ScaleOutResult::kNoCapacity
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -85,13 +85,17 @@
   if (outcome != Outcome::kOk) return SchedulePoll(RetryInterval());
   const auto record = ParseLeaderRecord(item->value);
   if (!record) {
-    spdlog::error("the leader key holds a malformed record; waiting until it is removed");
+    spdlog::error(
+        "elector: malformed record in the leader key; waiting until the key is deleted: key={}",
+        kLeaderKey);
     return SchedulePoll(lease_s_);
   }
   if (record->node == node_) {
     // This node created the key before a restart, or in an election whose response was lost. It
     // does not act as leader under that lease, so the lease can be revoked before it expires.
-    spdlog::info("revoking this node's earlier lease of term {}", record->term);
+    spdlog::info(
+        "elector: this node holds a lease of an earlier election; revoking it: term={} lease={}",
+        record->term, record->lease_id);
     store_->Revoke(record->lease_id);
     return SchedulePoll(RenewalInterval() / 4);
   }
@@ -115,7 +119,7 @@
 
 void Elector::ObserveLeader(const std::string& node, uint64_t term) {
   if (term < leader_term_) return;
-  if (term > leader_term_) spdlog::info("{} leads term {}", node, term);
+  if (term > leader_term_) spdlog::info("elector: new leader: term={} node={}", term, node);
   leader_ = node;
   leader_term_ = term;
 }
@@ -179,7 +183,7 @@
   lease_id_ = candidacy.lease_id;
   term_ = candidacy.term;
   lease_valid_until_ = LeaseValidUntil(candidacy.requested_at);
-  spdlog::info("elected leader of term {}", term_);
+  spdlog::info("elector: this node was elected leader: term={}", term_);
   ObserveLeader(node_, term_);
   ScheduleRenewal();
   callbacks_.on_elected(candidacy.term, {kLeaderKey, revision});
@@ -209,14 +213,17 @@
   // reject only this node. Unless a renewal succeeds in time, the lease expires.
   if (outcome != Outcome::kOk) return;
   if (timers_->Now() >= lease_valid_until_) {
-    spdlog::info("the lease of term {} is valid again", term_);
+    spdlog::info("elector: lease renewed after this node had treated it as expired: term={}",
+                 term_);
   }
   lease_valid_until_ = std::max(lease_valid_until_, LeaseValidUntil(requested_at));
 }
 
 void Elector::StepDown(const char* reason) {
   if (!is_leading()) return;
-  spdlog::info("no longer leader of term {}: {}", term_, reason);
+  spdlog::info(
+      "elector: this node stepped down; looking for the next leader: term={} reason=\"{}\"", term_,
+      reason);
   state_ = State::kIdle;
   timers_->Cancel(Timers::Slot::kRenew);
   store_->Revoke(lease_id_);
@@ -234,6 +241,6 @@
   if (!is_leading() && !node.empty()) ObserveLeader(node, term);
 }
 
-void Elector::OnFenced() { StepDown("a write was fenced off"); }
+void Elector::OnFenced() { StepDown("a write was rejected because the leader key had changed"); }
 
 }  // namespace zinclead::election
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -147,7 +147,9 @@
   const evutil_socket_t socket = evhttp_bound_socket_get_fd(bound);
   // After a failover more workers connect at once than evhttp's own backlog holds.
   if (backlog > kEvhttpListenBacklog && listen(socket, backlog) != 0) {
-    spdlog::error("cannot set a backlog of {} connections on port {}", backlog, port);
+    spdlog::error(
+        "http server: cannot set the listen backlog; using the default: backlog={} port={}",
+        backlog, port);
   }
   port_ = BoundPort(socket);
 }
@@ -181,7 +183,8 @@
   try {
     handler_(std::move(received), responder);
   } catch (const std::exception& e) {
-    spdlog::error("request handler failed: {}", e.what());
+    spdlog::error("http server: request handler failed; responding with status 500: reason=\"{}\"",
+                  e.what());
     responder->Send(InternalErrorResponse("{\"error\":\"internal error\"}"));
   }
 }
--- a/src/rpc/rate_limited_client.cc
+++ b/src/rpc/rate_limited_client.cc
@@ -24,7 +24,8 @@
 
 void RateLimitedClient::Call(Request request, Done done) {
   if (!TakeToken(request.importance)) {
-    spdlog::debug("{}: {} {} not sent, rate limit reached", service_, request.method, request.path);
+    spdlog::debug("{}: rate limit reached; request not sent: method={} path={}", service_,
+                  request.method, request.path);
     loop_->Post([done = std::move(done)] { done(std::nullopt); });
     return;
   }
@@ -37,8 +38,9 @@
 
 void RateLimitedClient::ReportMalformedResponse(const char* operation) {
   ++malformed_responses_;
-  spdlog::error("{}: malformed response to {} ({} so far)", service_, operation,
-                malformed_responses_);
+  spdlog::error(
+      "{}: malformed response; handling the outcome as unknown: count={} operation=\"{}\"",
+      service_, malformed_responses_, operation);
 }
 
 }  // namespace zinclead::rpc
--- a/src/service/cloud_poller.cc
+++ b/src/service/cloud_poller.cc
@@ -82,8 +82,8 @@
 }
 
 void CloudPoller::ScaleOut(const wire::ScaleOutRequest& request) {
-  spdlog::info("scaling out: {} {} in {}{} ({})", request.count, request.type, request.zone,
-               request.spot ? ", spot" : "", request.name);
+  spdlog::info("cloud poller: scaling out: machines={} type={} zone={} spot={} request={}",
+               request.count, request.type, request.zone, request.spot, request.name);
   cloud_->ScaleOut(
       request, guard_.Wrap([this, name = request.name](cloud::ScaleOutResult result,
                                                        const std::vector<std::string>& machines) {
@@ -94,8 +94,8 @@
 void CloudPoller::OnScaleOutResponse(const std::string& name, cloud::ScaleOutResult result,
                                      const std::vector<std::string>& machines) {
   const Cluster::ScaleOutOutcome outcome = ToOutcome(result);
-  spdlog::debug("scale out {}: {} machines, outcome {}", name, machines.size(),
-                static_cast<int>(outcome));
+  spdlog::debug("cloud poller: scale-out response: request={} machines={} outcome={}", name,
+                machines.size(), static_cast<int>(outcome));
   cluster_->WithLock([&](Cluster& cluster) {
     cluster.OnScaleOutAnswered(name, outcome, machines, net::SteadyNow());
   });
@@ -103,7 +103,8 @@
 }
 
 void CloudPoller::Terminate(const std::vector<std::string>& machines) {
-  spdlog::info("scaling in: {} machines, {} the first", machines.size(), machines.front());
+  spdlog::info("cloud poller: scaling in: machines={} first_machine={}", machines.size(),
+               machines.front());
   cloud_->Terminate(machines, guard_.Wrap([this, machines](bool terminated) {
     cluster_->WithLock(
         [&](Cluster& cluster) { cluster.OnTerminated(machines, terminated, net::SteadyNow()); });
--- a/src/service/job_requests.cc
+++ b/src/service/job_requests.cc
@@ -49,7 +49,9 @@
     case SubmitOutcome::kKnown:
       return reply(JobStatus(spec.id, view->phase));
     case SubmitOutcome::kAccepted:
-      spdlog::debug("job {} accepted: {} tasks of {}", spec.id, spec.tasks, spec.job_class);
+      spdlog::debug(
+          "job requests: job accepted; waiting until it is stored: job={} tasks={} class={}",
+          spec.id, spec.tasks, spec.job_class);
       [[fallthrough]];
     case SubmitOutcome::kPendingStore:
       pending_requests_.Add(spec.id, PendingRequests::Kind::kSubmission,
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -59,8 +59,10 @@
     active_jobs = cluster.ActiveJobs();
     machines = cluster.machines().size();
   });
-  spdlog::info("term {}: {} records loaded in {:.3f} s, {} active jobs, {} machines", term_,
-               record_count, now - load_started_at_, active_jobs, machines);
+  spdlog::info(
+      "leader: records loaded; starting to schedule: term={} records={} duration_s={:.3f} "
+      "active_jobs={} machines={}",
+      term_, record_count, now - load_started_at_, active_jobs, machines);
   dependencies_.scheduler_thread->Attach(cluster_);
   OnClusterChanged();
   OnTick();
@@ -94,15 +96,18 @@
 
 void Leader::LogSummary() {
   cluster_->WithLock([&](const core::Cluster& cluster) {
-    spdlog::info("term {}: {} active jobs, {} pending tasks, {} machines{}", term_,
-                 cluster.ActiveJobs(), cluster.PendingTasks(), cluster.machines().size(),
-                 cluster.reconciled() ? "" : ", failover in progress");
+    spdlog::info(
+        "leader: cluster summary: term={} active_jobs={} pending_tasks={} machines={} "
+        "failover_in_progress={}",
+        term_, cluster.ActiveJobs(), cluster.PendingTasks(), cluster.machines().size(),
+        !cluster.reconciled());
     if (dependencies_.operator_settings->admission.fair == 0) return;
     const admission::AdmissionPolicy& admission = cluster.admission();
     const admission::Counters& counts = admission.counters();
     spdlog::info(
-        "term {}: admission: {} admitted, {} refused with a reservation, {} without, {} "
-        "reservations expired, {} held, longest wait {:.1f} s",
+        "leader: admission summary: term={} admitted={} refused_with_reservation={} "
+        "refused_without_reservation={} reservations_expired={} reservations_held={} "
+        "longest_wait_s={:.1f}",
         term_, counts.admitted, counts.refused_with_reservation, counts.refused_without_reservation,
         counts.reservations_expired, admission.reservations(), counts.longest_wait_s);
   });
--- a/src/service/leader_forwarder.cc
+++ b/src/service/leader_forwarder.cc
@@ -38,7 +38,9 @@
   if (response.status != 200) return reply(ServiceUnavailable("the leader does not answer"));
   const auto forwarded_response = wire::ParseForwardedResponse(response.body);
   if (!forwarded_response) {
-    spdlog::error("malformed answer of a peer");
+    spdlog::error(
+        "leader forwarder: malformed response of a peer; responding with status 503: reason=\"{}\"",
+        forwarded_response.error().ToString());
     return reply(ServiceUnavailable("the leader's answer is malformed"));
   }
   elector_->OnTermSeen(forwarded_response->term);
--- a/src/service/record_loader.cc
+++ b/src/service/record_loader.cc
@@ -35,7 +35,9 @@
       ++records_.count;
       records_.versions[item.key] = item.version;
       if (!cluster.LoadRecord(item.key, item.value)) {
-        spdlog::error("malformed record {}, left as it is", item.key);
+        spdlog::error(
+            "record loader: malformed record; ignoring it and leaving it unchanged: key={}",
+            item.key);
       }
     }
   });
--- a/src/service/request_router.cc
+++ b/src/service/request_router.cc
@@ -101,12 +101,14 @@
 }
 
 void RequestRouter::OnHeartbeat(const std::string& body, Origin origin, const Reply& reply) {
-  spdlog::debug("heartbeat: {}", body);
+  spdlog::debug("request router: heartbeat received: body=\"{}\"", body);
   const auto heartbeat = wire::ParseHeartbeat(body);
   if (!heartbeat) {
     const std::string error = heartbeat.error().ToString();
     ++malformed_heartbeats_;
-    spdlog::error("malformed heartbeat ({} so far): {}", malformed_heartbeats_, error);
+    spdlog::error(
+        "request router: malformed heartbeat; responding with status 400: count={} reason=\"{}\"",
+        malformed_heartbeats_, error);
     return reply(BadRequest(error));
   }
   // The worker may have seen a higher term than this node. The elector then steps down, which
@@ -114,7 +116,7 @@
   if (leader() != nullptr) dependencies_.elector->OnTermSeen(heartbeat->fencing_token);
   if (leader() != nullptr) {
     net::Response response = leader()->OnHeartbeat(*heartbeat);
-    spdlog::debug("heartbeat response: {}", response.body);
+    spdlog::debug("request router: responding to heartbeat: body=\"{}\"", response.body);
     return reply(std::move(response));
   }
   if (origin == Origin::kPeer) return reply(ServiceUnavailable("not the leader"));
--- a/src/state/batch_builder.cc
+++ b/src/state/batch_builder.cc
@@ -71,12 +71,18 @@
 void BatchBuilder::OnInvalidRequest(const Batch& batch) {
   const size_t count = batch.writes.size();
   if (count > 1) {
-    spdlog::info("compare-and-swap of {} records refused as malformed, retrying with fewer", count);
+    spdlog::info(
+        "batch builder: key-value store rejected a batch as malformed; using smaller batches: "
+        "records={}",
+        count);
     current_max_writes_ = (count + 1) / 2;
     return;
   }
   const std::string& key = batch.writes.front().key;
-  spdlog::error("record {} refused as malformed, set aside", key);
+  spdlog::error(
+      "batch builder: key-value store rejected a record as malformed; retrying later: key={} "
+      "delay_s={}",
+      key, kRejectedRecordExclusionRetryIntervals * retry_s_);
   excluded_until_[key] = net::SteadyNow() + kRejectedRecordExclusionRetryIntervals * retry_s_;
   current_max_writes_ = store_max_writes_;
 }
--- a/src/state/committer.cc
+++ b/src/state/committer.cc
@@ -79,7 +79,9 @@
 
 void Committer::OnConflict(const std::vector<std::string>& failed_keys) {
   if (std::find(failed_keys.begin(), failed_keys.end(), fence_.key) != failed_keys.end()) {
-    spdlog::info("compare-and-swap fenced off: another leader was elected");
+    spdlog::info(
+        "committer: compare-and-swap rejected as the leader key changed; stepping down: key={}",
+        fence_.key);
     const auto on_fenced = hooks_.on_fenced;  // a copy: the call may destroy the committer
     return on_fenced();
   }
@@ -90,7 +92,9 @@
 // Resends the batch. This is safe: if the first copy was executed, the second one conflicts because
 // of the key versions, and the keys are read back.
 void Committer::OnOutcomeUnknown() {
-  spdlog::info("compare-and-swap of {} records got no answer, retrying", in_flight_->writes.size());
+  spdlog::info(
+      "committer: outcome of a compare-and-swap is unknown; retrying the same batch: records={}",
+      in_flight_->writes.size());
   in_flight_->is_outcome_unknown = true;
   builder_.OnOutcomeUnknown(*in_flight_);
   RetryLater(&Committer::SendBatch);
