--- a/tests/simulated_gangs.h
+++ b/tests/simulated_gangs.h
@@ -25,9 +25,9 @@
   bool saved = false;
   double image_ready_at = 0;         // the end of the image fetch
   double ends_at = 0;                // arrays and services only
-  double waiting_since_at = 0;       // gangs only: the start of the wait for the other tasks
-  double stop_received_at = -1;      // gangs only: the stop command with time to save; -1: none
-  double peer_loss_noticed_at = -1;  // gangs only: the end after another task was lost; -1: none
+  double waiting_since_at = 0;       // gangs only: when it began to wait for the other tasks
+  double stop_received_at = -1;      // gangs only: when a stop with time to save came; -1: never
+  double peer_loss_noticed_at = -1;  // gangs only: when it ends because a peer is lost; -1: never
 
   bool IsLive() const { return phase != wire::TaskPhase::kEnded; }
   void End(wire::EndCause end_cause) {
@@ -86,7 +86,7 @@
     std::set<uint32_t> started;  // indices of tasks
   };
 
-  // Fetching and waiting tasks; starts the gang when all its tasks wait.
+  // Advances fetching and waiting tasks; starts the gang when all its tasks wait.
   void StepWaiting(const wire::JobSpec& spec, Attempt* attempt, const std::vector<Member>& members,
                    double now);
   // Breaks the attempt after the loss of a task: the others end within `gang_peer_s`, and the
