--- a/bench/core_benchmark.cc
+++ b/bench/core_benchmark.cc
@@ -1,4 +1,4 @@
-// What the work of a leader costs, at the sizes of the deployments.
+// Cost of the leader's operations at the sizes of the deployments.
 
 #include <benchmark/benchmark.h>
 
@@ -10,7 +10,7 @@
 namespace zinclead::bench {
 namespace {
 
-// Machines, jobs and tasks of a job; more tasks than the machines hold.
+// Numbers of machines, jobs and tasks per job. The tasks exceed the capacity of the machines.
 void Sizes(benchmark::internal::Benchmark* benchmark) {
   benchmark->ArgNames({"machines", "jobs", "tasks"});
   benchmark->Args({330, 120, 40});
@@ -25,8 +25,8 @@
 
 void ParseHeartbeat(benchmark::State& state) {
   SimulatedFleet fleet({40, 20, 40});
-  fleet.BackfillMachine();
-  const std::string body = fleet.NextReport(0);
+  fleet.SubmitJobsAndFillMachines();
+  const std::string body = fleet.NextHeartbeatBody(0);
   for (auto _ : state) {
     benchmark::DoNotOptimize(wire::ParseHeartbeat(body));
   }
@@ -34,14 +34,14 @@
 }
 BENCHMARK(ParseHeartbeat);
 
-// A report that says nothing new: read, judged and answered.
+// Parsing, processing and answering a heartbeat that reports no change.
 void UnchangedReport(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.BackfillMachine();
+  fleet.SubmitJobsAndFillMachines();
   size_t next = 0;
   for (auto _ : state) {
     state.PauseTiming();
-    const std::string body = fleet.NextReport(next);
+    const std::string body = fleet.NextHeartbeatBody(next);
     state.ResumeTiming();
     const auto heartbeat = wire::ParseHeartbeat(body);
     const auto result = fleet.cluster().OnHeartbeat(*heartbeat, fleet.now());
@@ -51,10 +51,10 @@
 }
 BENCHMARK(UnchangedReport)->Apply(Sizes);
 
-// A pass over a backlog that finds no room.
+// A scheduling pass over a backlog while all machines are full.
 void OverloadedPass(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.BackfillMachine();
+  fleet.SubmitJobsAndFillMachines();
   for (auto _ : state) {
     state.PauseTiming();
     fleet.Advance(1);
@@ -68,11 +68,12 @@
 }
 BENCHMARK(OverloadedPass)->Apply(Sizes)->Unit(benchmark::kMicrosecond);
 
+// The start of a term: a new leader loads all records.
 void LoadTerm(benchmark::State& state) {
   SimulatedFleet fleet(SizeOf(state));
-  fleet.BackfillMachine();
+  fleet.SubmitJobsAndFillMachines();
   uint64_t term = 1;
-  for (auto _ : state) benchmark::DoNotOptimize(fleet.LoadTerm(++term));
+  for (auto _ : state) benchmark::DoNotOptimize(fleet.LoadRecords(++term));
   state.counters["records"] = static_cast<double>(fleet.records().size());
 }
 BENCHMARK(LoadTerm)->Apply(Sizes)->Unit(benchmark::kMicrosecond);
--- a/bench/process_load.cc
+++ b/bench/process_load.cc
@@ -1,5 +1,5 @@
-// One real controller under the heartbeats of many fake workers on loopback: prints what a
-// heartbeat costs it. Usage: zinclead_process_load PROGRAM MACHINES SECONDS
+// Runs one controller process with many fake workers on loopback and prints the CPU time that the
+// controller spends per heartbeat. Usage: zinclead_process_load PROGRAM MACHINES SECONDS
 
 #include <cstdio>
 #include <cstdlib>
@@ -17,15 +17,15 @@
 namespace zinclead::bench {
 namespace {
 
-constexpr double kReportS = 1.5;
+constexpr double kHeartbeatIntervalS = 1.5;
 constexpr int kCpusPerMachine = 4;
 constexpr int kTasksPerJob = 40;
 
-fault_injection::ControllerOptions Options(const char* program) {
+fault_injection::ControllerOptions MakeControllerOptions(const char* program) {
   fault_injection::ControllerOptions options;
   options.program = program;
   options.count = 1;
-  options.heartbeat_interval_s = kReportS;
+  options.heartbeat_interval_s = kHeartbeatIntervalS;
   options.lease_s = 10;
   options.cancel_s = 30;
   options.state_rps = 150;
@@ -37,6 +37,7 @@
   return options;
 }
 
+// CPU time that the process has used; 0 if it is not running.
 double CpuSeconds(pid_t pid) {
   clockid_t clock = 0;
   timespec used{};
@@ -45,20 +46,20 @@
 }
 
 void RunFor(net::EventLoop* loop, double seconds) {
-  const double until = net::SteadyNow() + seconds;
-  while (!fault_injection::RunUntil(loop, [&] { return net::SteadyNow() >= until; })) {
+  const double deadline = net::SteadyNow() + seconds;
+  while (!fault_injection::RunUntil(loop, [&] { return net::SteadyNow() >= deadline; })) {
   }
 }
 
-int Main(const char* program, int machines, double seconds) {
+int MeasureLoad(const char* program, int machines, double seconds) {
   net::EventLoop loop;
   fault_injection::FakeStore store(&loop);
-  fault_injection::ControllerProcesses controllers(&loop, Options(program));
-  fault_injection::FakeCloud cloud(&loop, {testing::MakeType("c4", kCpusPerMachine, 1.0)},
-                                   [&](const wire::Heartbeat& identity) {
-                                     return std::make_unique<fault_injection::FakeWorker>(
-                                         &loop, identity, controllers.Nodes(), kReportS, 1e6);
-                                   });
+  fault_injection::ControllerProcesses controllers(&loop, MakeControllerOptions(program));
+  fault_injection::FakeCloud cloud(
+      &loop, {testing::MakeType("c4", kCpusPerMachine, 1.0)}, [&](const wire::Heartbeat& identity) {
+        return std::make_unique<fault_injection::FakeWorker>(
+            &loop, identity, controllers.ListenPortsByNode(), kHeartbeatIntervalS, 1e6);
+      });
   controllers.SetEndpoints(cloud.port(), store.port());
   controllers.Start(0);
   const pid_t pid = controllers.pid(0);
@@ -70,15 +71,16 @@
     client.Call("POST", "/submissions", ToJson(spec).dump(), 5, [](const net::Response&) {});
     RunFor(&loop, 0.05);
   }
-  RunFor(&loop, 20);  // machines are rented and filled
+  RunFor(&loop, 20);  // scale-out, and the start of tasks on the new machines
   std::printf("pid %d, %zu machines\n", pid, cloud.workers().size());
   std::fflush(stdout);
-  const double before = CpuSeconds(pid);
+  const double used_before_s = CpuSeconds(pid);
   RunFor(&loop, seconds);
-  const double used = CpuSeconds(pid) - before;
-  const double heartbeats = static_cast<double>(cloud.workers().size()) / kReportS * seconds;
-  std::printf("%.1f ms of processor time a second, %.1f us a report\n", 1e3 * used / seconds,
-              1e6 * used / heartbeats);
+  const double used_s = CpuSeconds(pid) - used_before_s;
+  const double heartbeats =
+      static_cast<double>(cloud.workers().size()) / kHeartbeatIntervalS * seconds;
+  std::printf("%.1f ms of CPU time per second, %.1f us per heartbeat\n", 1e3 * used_s / seconds,
+              1e6 * used_s / heartbeats);
   return 0;
 }
 
@@ -90,5 +92,5 @@
     std::fprintf(stderr, "usage: %s PROGRAM MACHINES SECONDS\n", argv[0]);
     return 2;
   }
-  return zinclead::bench::Main(argv[1], std::atoi(argv[2]), std::atof(argv[3]));
+  return zinclead::bench::MeasureLoad(argv[1], std::atoi(argv[2]), std::atof(argv[3]));
 }
--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr uint64_t kTerm = 1;
-constexpr double kWallOffset = 1000;
-constexpr size_t kRecordsAtOnce = 12;
-// Of so many jobs one is a service and one an array of the lowest priority.
-constexpr int kMixPeriod = 10;
+constexpr double kWallClockOffsetS = 1000;
+constexpr size_t kRecordsPerTransaction = 12;
+// One of this many jobs is a service, and one a sweep at the lowest priority.
+constexpr int kJobMixPeriod = 10;
 
 config::Settings MakeSettings(const FleetSize& size) {
   config::Settings settings = testing::MakeSettings();
@@ -26,7 +26,7 @@
   settings.heartbeat_interval_s = 1.5;
   settings.cancel_s = 30;
   settings.state_value_kb = 32;
-  settings.state_txn_ops = kRecordsAtOnce;
+  settings.state_txn_ops = kRecordsPerTransaction;
   settings.cloud_rps = 1000;
   return settings;
 }
@@ -63,7 +63,8 @@
   return spec;
 }
 
-// Arrays differ in what their tasks take, so that no search for room stands for another.
+// The CPUs per task differ between arrays, so that the scheduler cannot reuse a failed placement
+// search of another job.
 wire::JobSpec MakeArray(wire::JobSpec spec, int number) {
   spec.priority = wire::Priority::kNormal;
   spec.job_class = "array";
@@ -78,8 +79,8 @@
   wire::JobSpec spec =
       testing::MakeJob("req-" + std::to_string(100000 + number), static_cast<uint32_t>(tasks));
   spec.image = "image-" + std::to_string(number % 14);
-  if (number % kMixPeriod == 0) return MakeService(std::move(spec));
-  if (number % kMixPeriod == 1) return MakeSweep(std::move(spec));
+  if (number % kJobMixPeriod == 0) return MakeService(std::move(spec));
+  if (number % kJobMixPeriod == 1) return MakeSweep(std::move(spec));
   return MakeArray(std::move(spec), number);
 }
 
@@ -89,29 +90,29 @@
     : size_(size),
       settings_(MakeSettings(size)),
       cluster_(std::make_unique<core::Cluster>(settings_, operator_settings_, kTerm, now_,
-                                               kWallOffset + now_,
+                                               kWallClockOffsetS + now_,
                                                /*random_seed=*/1)) {
   cluster_->FinishLoading(now_);
   cluster_->OnMachineTypes({MakeType("small", 4), MakeType("large", 16)});
-  Store();
+  StoreQueuedRecords();
 }
 
-void SimulatedFleet::BackfillMachine() {
-  Submit();
+void SimulatedFleet::SubmitJobsAndFillMachines() {
+  SubmitJobs();
   for (int round = 0; round < 20; ++round) {
     Advance(settings_.heartbeat_interval_s);
     ScaleOut(cluster_->Schedule(now_));
-    Store();
+    StoreQueuedRecords();
     for (size_t i = 0; i < workers_.size(); ++i) Heartbeat(i);
-    Store();
+    StoreQueuedRecords();
   }
 }
 
-void SimulatedFleet::Submit() {
+void SimulatedFleet::SubmitJobs() {
   for (int i = 0; i < size_.jobs; ++i) {
-    cluster_->Submit(MakeJob(i, size_.tasks_per_job), now_, kWallOffset + now_);
+    cluster_->Submit(MakeJob(i, size_.tasks_per_job), now_, kWallClockOffsetS + now_);
   }
-  Store();
+  StoreQueuedRecords();
 }
 
 void SimulatedFleet::ScaleOut(const core::CloudActions& cloud_actions) {
@@ -135,9 +136,9 @@
   }
 }
 
-void SimulatedFleet::Store() {
+void SimulatedFleet::StoreQueuedRecords() {
   while (cluster_->HasQueuedRecords()) {
-    for (const std::string& key : cluster_->DequeueRecords(kRecordsAtOnce)) {
+    for (const std::string& key : cluster_->DequeueRecords(kRecordsPerTransaction)) {
       std::optional<wire::Json> value = cluster_->Serialize(key);
       if (value) {
         records_[key] = std::move(*value);
@@ -149,7 +150,7 @@
   }
 }
 
-std::string SimulatedFleet::NextReport(size_t machine) {
+std::string SimulatedFleet::NextHeartbeatBody(size_t machine) {
   Worker& worker = workers_[machine];
   ++worker.heartbeat.sequence;
   worker.heartbeat.tasks.clear();
@@ -158,7 +159,7 @@
 }
 
 std::string SimulatedFleet::Heartbeat(size_t machine) {
-  const std::string body = NextReport(machine);
+  const std::string body = NextHeartbeatBody(machine);
   const auto heartbeat = wire::ParseHeartbeat(body);
   const auto result = cluster_->OnHeartbeat(*heartbeat, now_);
   workers_[machine].heartbeat.fencing_token = kTerm;
@@ -178,10 +179,10 @@
   }
 }
 
-std::unique_ptr<core::Cluster> SimulatedFleet::LoadTerm(uint64_t term) const {
-  auto cluster =
-      std::make_unique<core::Cluster>(settings_, operator_settings_, term, now_, kWallOffset + now_,
-                                      /*random_seed=*/1);
+std::unique_ptr<core::Cluster> SimulatedFleet::LoadRecords(uint64_t term) const {
+  auto cluster = std::make_unique<core::Cluster>(settings_, operator_settings_, term, now_,
+                                                 kWallClockOffsetS + now_,
+                                                 /*random_seed=*/1);
   for (const auto& [key, value] : records_) cluster->LoadRecord(key, value);
   cluster->FinishLoading(now_);
   return cluster;
--- a/bench/simulated_fleet.h
+++ b/bench/simulated_fleet.h
@@ -1,4 +1,5 @@
-// A cluster in memory with machines that answer at once, for benchmarks of the core.
+// A cluster in memory with simulated workers that execute commands without a delay, for benchmarks
+// of the core.
 #ifndef ZINCLEAD_BENCH_SIMULATED_FLEET_H_
 #define ZINCLEAD_BENCH_SIMULATED_FLEET_H_
 
@@ -23,22 +24,25 @@
   int controllers = 3;
 };
 
-// Machines, jobs and the state service's records of one term. Machines report when told to; what
-// they are told to start runs on until it is stopped.
+// The machines, the jobs and the stored records of one term. A machine sends a heartbeat only when
+// the benchmark calls Heartbeat(); a task runs until the leader stops it. Time advances only by
+// Advance().
 class SimulatedFleet {
  public:
   explicit SimulatedFleet(const FleetSize& size);
 
-  // Submits all jobs, rents machines until the wanted number is up, and lets all of them report
-  // until nothing changes any more.
-  void BackfillMachine();
-  // The body of the next report of the machine with that number.
-  std::string NextReport(size_t machine);
-  // Reports and executes the commands of the answer, whose body it returns.
+  // Submits all jobs, scales out to at most the machines of the FleetSize, and runs enough rounds
+  // of scheduling and heartbeats to fill the machines with tasks.
+  void SubmitJobsAndFillMachines();
+  // Returns the body of the next heartbeat of the machine with the index `machine`.
+  std::string NextHeartbeatBody(size_t machine);
+  // Passes the next heartbeat of the machine to the leader, executes the commands of the response,
+  // and returns the body of the response.
   std::string Heartbeat(size_t machine);
-  // A new leader with the records that are stored.
-  std::unique_ptr<core::Cluster> LoadTerm(uint64_t term) const;
+  // Returns the state of a new leader that has loaded all stored records.
+  std::unique_ptr<core::Cluster> LoadRecords(uint64_t term) const;
 
+  // Moves the clock forward.
   void Advance(double seconds) { now_ += seconds; }
   core::Cluster& cluster() { return *cluster_; }
   const config::OperatorSettings& operator_settings() const { return operator_settings_; }
@@ -49,18 +53,19 @@
  private:
   struct Worker {
     wire::Heartbeat heartbeat;
-    std::map<std::string, wire::TaskStatus> tasks;
+    std::map<std::string, wire::TaskStatus> tasks;  // by name
   };
-  void Submit();
-  void Store();
+  void SubmitJobs();
+  // Stores all queued records.
+  void StoreQueuedRecords();
   void ScaleOut(const core::CloudActions& cloud_actions);
   static void Execute(Worker* worker, const std::vector<wire::Command>& commands);
 
   const FleetSize size_;
   config::Settings settings_;
   config::OperatorSettings operator_settings_;
-  double now_ = 100;
-  std::map<std::string, wire::Json> records_;
+  double now_ = 100;                           // steady clock, in seconds
+  std::map<std::string, wire::Json> records_;  // stored records by key
   std::vector<Worker> workers_;
   std::unique_ptr<core::Cluster> cluster_;
 };
--- a/models/admission.pml
+++ b/models/admission.pml
@@ -1,25 +1,33 @@
 /*
- * Admission between several controllers: who may say what of a job, for the model checker Spin.
+ * Model of admission across controllers, for the model checker Spin: which response a controller
+ * may give to the submission and to the status query of a job.
  *
- * Two nodes take submissions of one job for their users. One of them leads at a time, fenced by the
- * term in the store; the other forwards while it has a credit, and refuses by itself without one.
- * The leader decides, writes to the store and answers when the write is known to be done. A write
- * may be carried out late, or carried out with its answer lost; a leader may be deposed between any
- * two of its steps and go on afterwards, not knowing it.
+ * Two controllers receive submissions of one job. One of them leads, fenced by the term in the
+ * store. The follower forwards a submission if it has a credit, and refuses the submission
+ * otherwise. The leader decides, writes the job to the store, and reports the job as accepted when
+ * it knows that the write was executed. The store may execute a write late, or execute it and lose
+ * the response. A leader may lose its leadership between any two steps, and continue without
+ * knowing that.
  *
- * Checked: a job is told accepted only if the store has it (durable before told); once it was told
- * accepted, no node tells that it is unknown; a job in the store is never refused by a leader that
- * has loaded it. And, with weak fairness, a user that keeps coming back is told accepted in the end
- * (ltl admitted_in_the_end). Leaders change at most MAX_TERM - 1 times.
+ * Safety properties (assertions):
+ * - A user is told that the job is accepted only if the job is in the store.
+ * - After that, no controller reports the job as unknown.
+ * - A leader that has loaded the store's records never refuses a job that is in the store.
+ * Liveness property (ltl admitted_in_the_end): with weak fairness, a user that keeps retrying is
+ * eventually told that the job is accepted. The leader changes at most MAX_TERM - 1 times.
  *
- * Build with -DBREAK_FENCE, -DBREAK_DURABLE, -DBREAK_LOAD or -DBREAK_TRICKLE to see the checker find
- * what happens without a guard.
+ * -DBREAK_FENCE, -DBREAK_DURABLE, -DBREAK_LOAD and -DBREAK_TRICKLE each remove one guard, for which
+ * the checker must find a violation.
  */
 
 #define NODES 2
 #define MAX_TERM 3
 
-/* The guards. */
+/*
+ * The guards. FENCED: the store refuses writes of earlier terms. DURABLE_FIRST: the leader reports
+ * a job as accepted only after it knows that the write was executed. LOADS: a new leader loads the
+ * stored records. TRICKLES: a follower without a credit forwards every second submission.
+ */
 #ifdef BREAK_FENCE
 #define FENCED 0
 #else
@@ -43,26 +51,26 @@
 
 byte store_term = 0;       /* the term in the leader key */
 byte store_leader = 0;
-bool stored = false;       /* the job's record */
+bool stored = false;       /* the store holds the job's record */
 
-bool told_accepted = false;
+bool told_accepted = false; /* a user was told that the job is accepted */
 
-/* What each node believes. */
+/* The state of each controller. A leader of an earlier term may still believe that it leads. */
 bool leads[NODES];
 byte term[NODES];
 bool loaded[NODES];
-bool known[NODES];         /* in the leader's memory: accepted, or being recorded */
+bool known[NODES];         /* the job is in the leader's memory, stored or being written */
 bool durable[NODES];       /* the leader knows that the record is stored */
 
-bool turn[NODES];          /* the leader refused it and keeps its place */
-bool credit[NODES];        /* a follower may forward the job */
+bool turn[NODES];          /* the leader refused the job and keeps a reservation for it */
+bool credit[NODES];        /* the follower may forward one submission */
 
-/* One write under way, with the term of its sender. */
+/* The write in flight, at most one, with the term and the index of its sender. */
 bool write_under_way = false;
 byte write_term = 0;
 byte write_from = 0;
 
-/* Another node is elected. Its records are what the store holds from then on. */
+/* Elects a controller for the next term. The new leader has no state until it loads the records. */
 proctype Election() {
   byte n;
   do
@@ -83,7 +91,7 @@
   od
 }
 
-/* A leader loads the records; only then it decides. */
+/* A new leader loads the stored records before it decides; one of an earlier term steps down. */
 proctype Loader(byte n) {
 end:
   do
@@ -97,7 +105,7 @@
   od
 }
 
-/* The store carries out a write, unless the fence stops it; the answer may be lost. */
+/* The store executes the write unless the fence rejects it. The response may be lost. */
 proctype Store() {
 end:
   do
@@ -109,7 +117,7 @@
           stored = true;
           if
           :: leads[write_from] && term[write_from] == write_term -> durable[write_from] = true
-          :: true -> skip       /* answered to nobody: read back below */
+          :: true -> skip       /* response lost: the Committer reads back */
           fi
        :: else -> skip
        fi
@@ -117,7 +125,7 @@
   od
 }
 
-/* A leader in doubt of its write reads it back, or sends it again. */
+/* A leader that does not know the outcome of its write reads the record back, or writes again. */
 proctype Committer(byte n) {
 end:
   do
@@ -132,7 +140,7 @@
   od
 }
 
-/* The leader's grants to its follower; any of them may be lost. */
+/* The leader grants a credit to the follower. Any grant may be lost. */
 proctype Grants(byte n) {
 end:
   do
@@ -152,22 +160,22 @@
   :: leads[at] && loaded[at] && known[at] ->
      if
      :: (durable[at] || !DURABLE_FIRST) -> assert(stored); told_accepted = true
-     :: else -> skip          /* answered later, or: come back */
+     :: else -> skip          /* no response yet, or refused; the user retries */
      fi
   :: leads[at] && loaded[at] && !known[at] ->
-     /* A leader that is deposed but does not know it may refuse, never a job that it could tell. */
+     /* Only a leader of an earlier term may refuse a stored job. */
      assert(!(stored && term[at] == store_term));
      if
-     :: turn[at] -> turn[at] = false; known[at] = true      /* its turn */
-     :: !turn[at] -> turn[at] = true                       /* refused: come back */
-     :: !turn[at] -> known[at] = true                      /* admitted at once */
+     :: turn[at] -> turn[at] = false; known[at] = true      /* accepts the reservation */
+     :: !turn[at] -> turn[at] = true                       /* refused; the user retries */
+     :: !turn[at] -> known[at] = true                      /* accepted immediately */
      fi
-  :: else -> skip             /* not the leader, or loading: come back */
+  :: else -> skip             /* not leading or still loading; the user retries */
   fi
 }
 
-/* The user submits through one node, whichever the load balancer chose, until told that the job is
- * accepted. A follower without a credit lets every other submission through (the trickle). */
+/* The user submits the job through one controller, chosen by the load balancer, until told that the
+ * job is accepted. A follower without a credit forwards every second submission (TRICKLES). */
 proctype User() {
   byte n;
   bool refused_here = false;
@@ -187,7 +195,8 @@
   od
 }
 
-/* Any node is asked for the job at any time. 404 only from a loaded leader with a valid lease. */
+/* Queries any controller for the job at any time. Only a leader that has loaded the records and
+ * holds a valid lease may respond with 404. */
 proctype Asker() {
   byte n;
 end:
--- a/scenarios/flood.lua
+++ b/scenarios/flood.lua
@@ -1,5 +1,6 @@
--- One team sends ten thousand submissions through all controllers, and comes back each second
--- whatever it is told. Eleven other teams send a few each.
+-- One team submits 10,000 jobs through all controllers and retries every second, ignoring
+-- Retry-After. Eleven other teams submit a few jobs each, which must be accepted within the
+-- wait bound.
 local users = {
   { team = 0, tier = "standard", count = 10000, over_s = 20, heeds_retry_after = false },
 }
--- a/scenarios/leaders_in_turn.lua
+++ b/scenarios/leaders_in_turn.lua
@@ -1,4 +1,5 @@
--- The leader ends twice in a flood, and with it the turns and credits it gave.
+-- The leader is killed twice during a flood of submissions. The reservations and credits that it
+-- granted are lost with it; the wait bound must hold nevertheless.
 local users = {
   { team = 0, tier = "standard", count = 4000, over_s = 20 },
 }
--- a/scenarios/lost_writes.lua
+++ b/scenarios/lost_writes.lua
@@ -1,5 +1,5 @@
--- The state service takes no change for four seconds, and the leader ends in the midst of them: what
--- was told as accepted must be known to the next leader.
+-- The state service refuses writes for four seconds, and the leader is killed during that time: the
+-- next leader must know every job that users were told was accepted.
 local users = {}
 for team = 0, 3 do
   users[#users + 1] = { team = team, tier = "prod", count = 40, over_s = 15, bounded = true }
--- a/scenarios/quiet.lua
+++ b/scenarios/quiet.lua
@@ -1,4 +1,4 @@
--- A quiet stretch: everything is admitted at once.
+-- Low load without faults: every job is accepted at its first submission.
 return {
   seconds = 15,
   teams = 2,
--- a/scenarios/stalled_leader.lua
+++ b/scenarios/stalled_leader.lua
@@ -1,10 +1,11 @@
--- The leader stands still in a flood for longer than its lease and goes on after another leads;
--- meanwhile the state service loses answers, and refuses changes for a while.
+-- During a flood of submissions the leader is paused for longer than its lease, and resumes after
+-- another controller has been elected; twice. The state service loses responses during the first
+-- pause, and refuses writes for two seconds between the pauses.
 local users = {
   { team = 0, tier = "standard", count = 3000, over_s = 20, heeds_retry_after = false },
 }
 for team = 1, 5 do
-  -- At the same moments, so that their waits can be compared.
+  -- Both tiers submit at the same times, so that their waits can be compared.
   for _, tier in ipairs({ "prod", "best_effort" }) do
     users[#users + 1] = { team = team, tier = tier, count = 4, over_s = 24, bounded = true }
   end
--- a/src/app/fault_injection_main.cc
+++ b/src/app/fault_injection_main.cc
@@ -1,4 +1,6 @@
-// The command line of zinclead-fault-injection.
+// Command line of zinclead-fault-injection: runs a scenario and prints the result of each check.
+// Exits with 0 if no checked property is broken, 1 if one is, 2 if the script or the run fails, and
+// the code of CLI11 for invalid arguments.
 
 #include <spdlog/spdlog.h>
 
@@ -13,10 +15,11 @@
 
 namespace {
 
-constexpr int kBrokenExit = 1;
-constexpr int kUsageExit = 2;
+constexpr int kPropertyBrokenExitCode = 1;
+constexpr int kErrorExitCode = 2;
 
-const char* Word(zinclead::fault_injection::Outcome outcome) {
+// Padded to one width, so that the properties are aligned.
+const char* OutcomeText(zinclead::fault_injection::Outcome outcome) {
   using zinclead::fault_injection::Outcome;
   switch (outcome) {
     case Outcome::kHeld:
@@ -32,16 +35,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"zinclead-fault-injection: plays a scenario with real controllers and stand-ins"};
+  CLI::App app{
+      "zinclead-fault-injection: runs a scenario with real controllers and fakes of their "
+      "environment"};
   app.set_version_flag("--version", std::string("zinclead-fault-injection ") + ZINCLEAD_VERSION);
   std::string path;
   zinclead::fault_injection::RunOptions options;
   options.program = std::filesystem::path(argv[0]).parent_path() / "zinclead";
-  bool check = false;
-  app.add_option("scenario", path, "the scenario's script (Lua)")->required();
-  app.add_option("--seed", options.seed, "draws of the script and of the users' controllers");
-  app.add_option("--program", options.program, "the zinclead to test");
-  app.add_flag("--check", check, "read the script and end");
+  bool is_check_only = false;
+  app.add_option("scenario", path, "path of the scenario script (Lua)")->required();
+  app.add_option("--seed", options.seed,
+                 "seed of random() in the script and of the controllers that users choose");
+  app.add_option("--program", options.program, "path of the zinclead program to test");
+  app.add_flag("--check", is_check_only, "only load and validate the script");
   CLI11_PARSE(app, argc, argv);
   spdlog::set_level(spdlog::level::err);
   try {
@@ -50,18 +56,19 @@
     for (const auto& group : scenario.users) jobs += static_cast<size_t>(group.count);
     std::cout << scenario.name << ": " << jobs << " jobs, " << scenario.faults.size()
               << " faults, seed " << options.seed
-              << " (the events follow the seed, their timing on this machine does not)\n";
-    if (check) return 0;
-    bool broken = false;
-    for (const auto& finding : RunScenario(scenario, options)) {
-      std::cout << Word(finding.outcome) << "  " << finding.rule;
-      if (!finding.evidence.empty()) std::cout << ": " << finding.evidence;
+              << " (the seed determines the events, but not their exact timing)\n";
+    if (is_check_only) return 0;
+    bool is_any_broken = false;
+    for (const auto& result : RunScenario(scenario, options)) {
+      std::cout << OutcomeText(result.outcome) << "  " << result.property;
+      if (!result.evidence.empty()) std::cout << ": " << result.evidence;
       std::cout << "\n";
-      broken = broken || finding.outcome == zinclead::fault_injection::Outcome::kBroken;
+      is_any_broken =
+          is_any_broken || result.outcome == zinclead::fault_injection::Outcome::kBroken;
     }
-    return broken ? kBrokenExit : 0;
+    return is_any_broken ? kPropertyBrokenExitCode : 0;
   } catch (const std::exception& error) {
     std::cerr << "zinclead-fault-injection: " << error.what() << "\n";
-    return kUsageExit;
+    return kErrorExitCode;
   }
 }
--- a/src/fault_injection/controller_processes.cc
+++ b/src/fault_injection/controller_processes.cc
@@ -18,7 +18,8 @@
 namespace zinclead::fault_injection {
 namespace {
 
-std::vector<uint16_t> FreePorts(net::EventLoop* loop, size_t count) {
+// Returns `count` different loopback ports on which nothing listens.
+std::vector<uint16_t> FindFreePorts(net::EventLoop* loop, size_t count) {
   std::vector<std::unique_ptr<net::HttpServer>> probes;
   std::vector<uint16_t> ports;
   for (size_t i = 0; i < count; ++i) {
@@ -30,13 +31,13 @@
   return ports;
 }
 
-std::string OnLoopback(uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+std::string LoopbackAddress(uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
 
 ControllerProcesses::ControllerProcesses(net::EventLoop* loop, ControllerOptions options)
     : options_(std::move(options)),
-      ports_(FreePorts(loop, 2 * options_.count)),
+      ports_(FindFreePorts(loop, 2 * options_.count)),
       pids_(options_.count, 0) {}
 
 ControllerProcesses::~ControllerProcesses() {
@@ -46,30 +47,31 @@
   }
 }
 
-void ControllerProcesses::SetEndpoints(uint16_t cloud, uint16_t state) {
-  cloud_port_ = cloud;
-  state_port_ = state;
+void ControllerProcesses::SetEndpoints(uint16_t cloud_port, uint16_t state_port) {
+  cloud_port_ = cloud_port;
+  state_port_ = state_port;
 }
 
 void ControllerProcesses::Start(size_t index, Peers peers) {
   Kill(index);
   WriteSettings(index, peers);
-  // Everything that allocates is done before the fork.
-  std::vector<std::string> words = {options_.program, "--config", SettingsPath(index)};
+  // Allocates memory before fork() only: the child must not, as another thread may hold the lock of
+  // the allocator at that time.
+  std::vector<std::string> arguments = {options_.program, "--config", SettingsPath(index)};
   if (!options_.operator_config.empty()) {
-    words.insert(words.end(), {"--operator-config", options_.operator_config});
+    arguments.insert(arguments.end(), {"--operator-config", options_.operator_config});
   }
-  std::vector<char*> arguments;
-  arguments.reserve(words.size() + 1);
-  for (std::string& word : words) arguments.push_back(word.data());
-  arguments.push_back(nullptr);
+  std::vector<char*> argv;
+  argv.reserve(arguments.size() + 1);
+  for (std::string& argument : arguments) argv.push_back(argument.data());
+  argv.push_back(nullptr);
   const pid_t parent = getpid();
   const pid_t pid = fork();
-  if (pid < 0) throw std::runtime_error("a controller can't be started");
+  if (pid < 0) throw std::runtime_error("cannot start a controller: fork failed");
   if (pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(1);  // it ended before the line above
-    execv(arguments[0], arguments.data());
+    if (getppid() != parent) _exit(1);  // the parent ended before prctl()
+    execv(argv[0], argv.data());
     _exit(127);
   }
   pids_[index] = pid;
@@ -90,17 +92,17 @@
   if (pids_[index] != 0) kill(pids_[index], SIGCONT);
 }
 
-bool ControllerProcesses::Running(size_t index) {
+bool ControllerProcesses::IsRunning(size_t index) {
   if (pids_[index] == 0) return false;
   if (waitpid(pids_[index], nullptr, WNOHANG) == 0) return true;
   pids_[index] = 0;
   return false;
 }
 
-std::map<std::string, uint16_t> ControllerProcesses::Nodes() const {
-  std::map<std::string, uint16_t> nodes;
-  for (size_t i = 0; i < options_.count; ++i) nodes[NameOf(i)] = listen_port(i);
-  return nodes;
+std::map<std::string, uint16_t> ControllerProcesses::ListenPortsByNode() const {
+  std::map<std::string, uint16_t> ports;
+  for (size_t i = 0; i < options_.count; ++i) ports[NodeName(i)] = listen_port(i);
+  return ports;
 }
 
 std::string ControllerProcesses::SettingsPath(size_t index) const {
@@ -111,16 +113,16 @@
 
 void ControllerProcesses::WriteSettings(size_t index, Peers peers) const {
   std::ofstream file(SettingsPath(index));
-  file << "node = \"" << NameOf(index) << "\"\nzone = \"a\"\nlisten = \""
-       << OnLoopback(listen_port(index)) << "\"\nback = \"" << OnLoopback(PeerPort(index))
+  file << "node = \"" << NodeName(index) << "\"\nzone = \"a\"\nlisten = \""
+       << LoopbackAddress(listen_port(index)) << "\"\nback = \"" << LoopbackAddress(PeerPort(index))
        << "\"\n";
   for (size_t other = 0; other < options_.count; ++other) {
     if (other == index) continue;
-    file << "[[others]]\nnode = \"" << NameOf(other) << "\"\nzone = \"a\"\naddress = \""
-         << OnLoopback(peers == Peers::kAll ? PeerPort(other) : 1) << "\"\n";
+    file << "[[others]]\nnode = \"" << NodeName(other) << "\"\nzone = \"a\"\naddress = \""
+         << LoopbackAddress(peers == Peers::kAll ? PeerPort(other) : 1) << "\"\n";
   }
-  file << "[endpoints]\ncloud = \"" << OnLoopback(cloud_port_) << "\"\nstate = \""
-       << OnLoopback(state_port_) << "\"\n[settings]\ncount = " << options_.count
+  file << "[endpoints]\ncloud = \"" << LoopbackAddress(cloud_port_) << "\"\nstate = \""
+       << LoopbackAddress(state_port_) << "\"\n[settings]\ncount = " << options_.count
        << "\nzones = [\"a\", \"b\", \"c\"]\nclock_error_ms = 100.0\n";
   for (const std::string& team : options_.teams) {
     file << "[[settings.teams]]\nname = \"" << team << "\"\n";
--- a/src/fault_injection/controller_processes.h
+++ b/src/fault_injection/controller_processes.h
@@ -1,4 +1,4 @@
-// Real controllers on loopback, with settings files written for them. All of them end with this
+// Real controller processes on loopback, with generated settings files. The processes end with this
 // object, and with the process that started them.
 #ifndef ZINCLEAD_FAULT_INJECTION_CONTROLLER_PROCESSES_H_
 #define ZINCLEAD_FAULT_INJECTION_CONTROLLER_PROCESSES_H_
@@ -14,11 +14,12 @@
 
 namespace zinclead::fault_injection {
 
-// What the platform's settings say; see DEPLOY for the fields.
+// The program and the platform settings of the controllers; config/settings.h describes the
+// settings that have the same names.
 struct ControllerOptions {
-  std::string program;
-  std::string operator_config;  // empty: none
-  size_t count = 3;
+  std::string program;          // path of zinclead
+  std::string operator_config;  // path of the operators' settings; empty: none
+  size_t count = 3;             // number of controllers
   std::vector<std::string> teams = {"open"};
   double heartbeat_interval_s = 0.5;
   double lease_s = 5;
@@ -31,40 +32,48 @@
   int mem_mb = 100;
 };
 
+// Controllers are named by their index, from 0 to count() - 1. Belongs to the thread that made it,
+// which must outlive it: the kernel kills the processes when that thread ends.
 class ControllerProcesses {
  public:
-  // The ports are free when this is made.
+  // Chooses loopback ports that are free at this time; `loop` is used only by the constructor.
   ControllerProcesses(net::EventLoop* loop, ControllerOptions options);
   ~ControllerProcesses();
   ControllerProcesses(const ControllerProcesses&) = delete;
   ControllerProcesses& operator=(const ControllerProcesses&) = delete;
 
-  void SetEndpoints(uint16_t cloud, uint16_t state);
-  // kNone: nothing listens where it is told to find the other controllers.
+  // Sets the loopback ports of the cloud and the state service. To be called before Start().
+  void SetEndpoints(uint16_t cloud_port, uint16_t state_port);
+  // The peers that a controller can reach. kNone: its settings name a port where nothing listens.
   enum class Peers { kAll, kNone };
-  // Throws std::runtime_error if the process can't be started.
+  // Starts the controller, and kills its former process if there is one. Throws std::runtime_error
+  // if fork() fails; a program that can't be executed shows only in IsRunning().
   void Start(size_t index, Peers peers = Peers::kAll);
+  // Kills the process with SIGKILL and waits for its end.
   void Kill(size_t index);
-  // Stops the process where it stands, and lets it go on.
+  // Stops the process with SIGSTOP, and continues it with SIGCONT.
   void Pause(size_t index);
   void Resume(size_t index);
 
   size_t count() const { return options_.count; }
-  bool Running(size_t index);
+  // Whether the process has been started and has not ended; a paused process is running.
+  bool IsRunning(size_t index);
   std::string SettingsPath(size_t index) const;
+  // 0: not running.
   pid_t pid(size_t index) const { return pids_[index]; }
   uint16_t listen_port(size_t index) const { return ports_[index]; }
-  static std::string NameOf(size_t index) { return "n" + std::to_string(index); }
-  // Listening ports by node name, as workers know them.
-  std::map<std::string, uint16_t> Nodes() const;
+  // The controller's name in settings and in the leader key.
+  static std::string NodeName(size_t index) { return "n" + std::to_string(index); }
+  // Ports for users and workers, by node name.
+  std::map<std::string, uint16_t> ListenPortsByNode() const;
 
  private:
   uint16_t PeerPort(size_t index) const { return ports_[options_.count + index]; }
   void WriteSettings(size_t index, Peers peers) const;
 
   const ControllerOptions options_;
-  std::vector<uint16_t> ports_;
-  std::vector<pid_t> pids_;
+  std::vector<uint16_t> ports_;  // listening ports of all controllers, then their peer ports
+  std::vector<pid_t> pids_;      // 0: not running
   uint16_t cloud_port_ = 0;
   uint16_t state_port_ = 0;
 };
--- a/src/fault_injection/fakes/fake_cloud.cc
+++ b/src/fault_injection/fakes/fake_cloud.cc
@@ -44,7 +44,7 @@
   return {{"alloys", types}};
 }
 
-// A repeated request gets the machines that the first one brought.
+// Idempotent: a repeated request returns the machines that the first one provisioned.
 Json FakeCloud::ScaleOut(const Json& request) {
   Json& machines = machines_by_request_[request["hire"]];
   if (machines.is_null()) {
--- a/src/fault_injection/fakes/fake_cloud.h
+++ b/src/fault_injection/fakes/fake_cloud.h
@@ -1,5 +1,5 @@
-// Fake of the cloud, written from PROTOCOL: provisions machines at once and starts a worker on
-// each.
+// Fake of the cloud that follows PROTOCOL: provisions machines without a delay and starts a worker
+// on each.
 #ifndef ZINCLEAD_FAULT_INJECTION_FAKES_FAKE_CLOUD_H_
 #define ZINCLEAD_FAULT_INJECTION_FAKES_FAKE_CLOUD_H_
 
@@ -18,17 +18,19 @@
 
 namespace zinclead::fault_injection {
 
-// Listens on a free loopback port. Belongs to the loop's thread. Its machine list is always empty.
+// Listens on a free loopback port. Belongs to the loop's thread. The machine list that it returns
+// is always empty.
 class FakeCloud {
  public:
-  // Starts the worker of a new machine, given what its heartbeats say of it.
+  // Starts the worker of a new machine. `identity` holds the fields
+  // that are equal in all its heartbeats.
   using StartWorker = std::function<std::unique_ptr<FakeWorker>(const wire::Heartbeat& identity)>;
 
-  // `loop` must outlive the cloud.
+  // Offers the machine types `types`. `loop` must outlive the cloud.
   FakeCloud(net::EventLoop* loop, std::vector<wire::MachineType> types, StartWorker start_worker);
 
   [[nodiscard]] uint16_t port() const { return server_.port(); }
-  // By machine. Destroying a worker ends the machine without a word.
+  // By machine. Erasing a worker makes the machine fail without notice to the controllers.
   std::map<std::string, std::unique_ptr<FakeWorker>>& workers() { return workers_; }
 
  private:
@@ -40,7 +42,8 @@
 
   const std::vector<wire::MachineType> types_;
   const StartWorker start_worker_;
-  std::map<std::string, wire::Json> machines_by_request_;  // names, by the scale-out request's name
+  // Names of the machines, by name of the scale-out request.
+  std::map<std::string, wire::Json> machines_by_request_;
   std::map<std::string, std::unique_ptr<FakeWorker>> workers_;
   int machine_count_ = 0;
   net::HttpServer server_;
--- a/src/fault_injection/fakes/fake_store.cc
+++ b/src/fault_injection/fakes/fake_store.cc
@@ -28,10 +28,11 @@
   return parameters;
 }
 
-void Send(const net::ResponderPtr& responder, const FakeStore::Answer& answer) {
-  responder->Send({answer.status, 0, answer.body.dump()});
+void Send(const net::ResponderPtr& responder, const FakeStore::Response& response) {
+  responder->Send({response.status, 0, response.body.dump()});
 }
 
+// Names no events: clients read the keys that they watch again.
 Json WatchBody(uint64_t revision) { return {{"ledger", revision}, {"events", Json::array()}}; }
 
 }  // namespace
@@ -67,10 +68,10 @@
       return Send(responder, CompareAndSwap(body));
     case InjectedFault::kExecutedUnanswered:
       CompareAndSwap(body);
-      unanswered_.push_back(responder);
+      unanswered_responders_.push_back(responder);
       return;
     case InjectedFault::kLost:
-      unanswered_.push_back(responder);
+      unanswered_responders_.push_back(responder);
       return;
     case InjectedFault::kMalformed:
       return Send(responder, {400, {{"error", "too large"}}});
@@ -81,7 +82,7 @@
   }
 }
 
-FakeStore::Answer FakeStore::CompareAndSwap(const Json& request) {
+FakeStore::Response FakeStore::CompareAndSwap(const Json& request) {
   ++compare_and_swap_count_;
   Json failed = Json::array();
   for (const Json& precondition : request["when"]) {
@@ -115,13 +116,13 @@
   }
 }
 
-FakeStore::Answer FakeStore::Get(const std::string& key) const {
+FakeStore::Response FakeStore::Get(const std::string& key) const {
   const auto it = entries_.find(key);
   if (it == entries_.end()) return {404, {{"ledger", revision_}}};
   return {200, {{"path", key}, {"value", it->second.value}, {"stamp", it->second.version}}};
 }
 
-FakeStore::Answer FakeStore::List(const std::string& query) const {
+FakeStore::Response FakeStore::List(const std::string& query) const {
   const auto parameters = ParseQuery(query);
   const std::string& prefix = parameters.at("prefix");
   const auto from = parameters.find("from");
@@ -134,14 +135,14 @@
   return {200, {{"entries", items}, {"truncated", false}, {"ledger", revision_}}};
 }
 
-FakeStore::Answer FakeStore::GrantLease(const std::string& body) {
+FakeStore::Response FakeStore::GrantLease(const std::string& body) {
   const uint64_t id = ++last_lease_;
   leases_[id].ttl_s = Json::parse(body)["lifeMs"].get<double>() / 1000;
   StartLeaseTimer(id);
   return {200, {{"tenure", id}}};
 }
 
-FakeStore::Answer FakeStore::RenewOrRevokeLease(const std::string& method, uint64_t id) {
+FakeStore::Response FakeStore::RenewOrRevokeLease(const std::string& method, uint64_t id) {
   if (!leases_.contains(id)) return {404, Json::object()};
   if (method == "DELETE") {
     EndLease(id);
@@ -172,7 +173,7 @@
   watches_.push_back(responder);
 }
 
-// Whatever has changed: clients read the keys that they watch again.
+// Answers every watch after each change, whichever keys have changed.
 void FakeStore::NotifyWatches() {
   for (const net::ResponderPtr& responder : std::exchange(watches_, {})) {
     Send(responder, {200, WatchBody(revision_)});
--- a/src/fault_injection/fakes/fake_store.h
+++ b/src/fault_injection/fakes/fake_store.h
@@ -1,5 +1,5 @@
-// Fake of the consensus-backed key-value store, written from PROTOCOL: keys with versions,
-// compare-and-swap, leases and watches, with faults that a test injects.
+// Fake of the consensus-backed key-value store that follows PROTOCOL: keys with versions,
+// compare-and-swap, leases and watches. Tests can inject faults into compare-and-swap requests.
 #ifndef ZINCLEAD_FAULT_INJECTION_FAKES_FAKE_STORE_H_
 #define ZINCLEAD_FAULT_INJECTION_FAKES_FAKE_STORE_H_
 
@@ -21,38 +21,42 @@
 // Listens on a free loopback port. Belongs to the loop's thread.
 class FakeStore {
  public:
+  // A stored key.
   struct Entry {
     wire::Json value;
     uint64_t version = 0;
     uint64_t lease = 0;  // 0: none
   };
-  // What becomes of a compare-and-swap request.
+  // How the store treats a compare-and-swap request.
   enum class InjectedFault {
-    kNormal,              // executed and answered
+    kNormal,              // executed, with a response
     kExecutedUnanswered,  // executed, but the response is lost
-    kLost,                // neither executed nor answered; a test may execute it later
+    kLost,                // not executed, without a response; a test may execute it later
     kMalformed,           // refused with 400
     kRefused,             // refused with 503
     kTooMany,             // refused with 429
   };
-  // Decides for each request, given its body.
+  // Called with the body of each compare-and-swap request.
   using FaultInjector = std::function<InjectedFault(const wire::Json& request)>;
 
   // `loop` must outlive the store.
   explicit FakeStore(net::EventLoop* loop);
 
   [[nodiscard]] uint16_t port() const { return server_.port(); }
+  // By key. Changes through this reference neither increment the revision nor notify watches.
   std::map<std::string, Entry>& entries() { return entries_; }
-  // Requests that were executed or failed a precondition, those through CompareAndSwap included.
+  // Compare-and-swap requests that were processed, with any result, including calls of
+  // CompareAndSwap().
   [[nodiscard]] uint64_t compare_and_swap_count() const { return compare_and_swap_count_; }
+  // Sets the function that chooses the fault of each request; empty: no faults.
   void InjectFaults(FaultInjector injector) { fault_injector_ = std::move(injector); }
 
-  struct Answer {
+  struct Response {
     int status = 0;
     wire::Json body;
   };
-  // Executes a request in the format of PROTOCOL, as if it had arrived now.
-  Answer CompareAndSwap(const wire::Json& request);
+  // Processes the body of a compare-and-swap request without fault injection.
+  Response CompareAndSwap(const wire::Json& request);
 
  private:
   struct Lease {
@@ -63,10 +67,10 @@
   void OnRequest(const net::ServerRequest& request, const net::ResponderPtr& responder);
   void OnCompareAndSwap(const net::ServerRequest& request, const net::ResponderPtr& responder);
   void OnWatch(const net::ServerRequest& request, const net::ResponderPtr& responder);
-  [[nodiscard]] Answer Get(const std::string& key) const;
-  [[nodiscard]] Answer List(const std::string& query) const;
-  Answer GrantLease(const std::string& body);
-  Answer RenewOrRevokeLease(const std::string& method, uint64_t id);
+  [[nodiscard]] Response Get(const std::string& key) const;
+  [[nodiscard]] Response List(const std::string& query) const;
+  Response GrantLease(const std::string& body);
+  Response RenewOrRevokeLease(const std::string& method, uint64_t id);
 
   [[nodiscard]] uint64_t VersionOf(const std::string& key) const;
   void Apply(const wire::Json& write);
@@ -80,7 +84,7 @@
   std::map<std::string, Entry> entries_;
   std::map<uint64_t, Lease> leases_;
   std::vector<net::ResponderPtr> watches_;
-  std::vector<net::ResponderPtr> unanswered_;  // kept, so that their clients time out
+  std::vector<net::ResponderPtr> unanswered_responders_;  // kept, so that their clients time out
   uint64_t revision_ = 0;
   uint64_t last_lease_ = 0;
   uint64_t compare_and_swap_count_ = 0;
--- a/src/fault_injection/fakes/fake_worker.cc
+++ b/src/fault_injection/fakes/fake_worker.cc
@@ -7,7 +7,7 @@
 
 using wire::Json;
 
-constexpr size_t kConnections = 1;
+constexpr size_t kMaxConnections = 1;
 constexpr size_t kMaxQueuedCalls = 4;
 constexpr size_t kMaxResponseBytes = size_t{1} << 20;
 constexpr double kHeartbeatTimeoutS = 4;
@@ -16,16 +16,16 @@
 }  // namespace
 
 FakeWorker::FakeWorker(net::EventLoop* loop, wire::Heartbeat identity,
-                       const std::map<std::string, uint16_t>& controllers,
-                       double heartbeat_interval_s, double run_s)
+                       const std::map<std::string, uint16_t>& controller_ports,
+                       double heartbeat_interval_s, double task_duration_s)
     : loop_(loop),
       identity_(std::move(identity)),
       heartbeat_interval_s_(heartbeat_interval_s),
-      run_s_(run_s) {
-  for (const auto& [controller, port] : controllers) {
+      task_duration_s_(task_duration_s) {
+  for (const auto& [controller, port] : controller_ports) {
     controllers_.push_back(controller);
-    clients_[controller] = std::make_unique<net::HttpClient>(loop, "127.0.0.1", port, kConnections,
-                                                             kMaxQueuedCalls, kMaxResponseBytes);
+    clients_[controller] = std::make_unique<net::HttpClient>(
+        loop, "127.0.0.1", port, kMaxConnections, kMaxQueuedCalls, kMaxResponseBytes);
   }
   identity_.agent_epoch = 1;
   SendHeartbeat();
@@ -60,7 +60,7 @@
   if (response.status == 200 && body.is_object() &&
       body.value("mandate", uint64_t{0}) >= identity_.fencing_token) {
     identity_.fencing_token = body["mandate"].get<uint64_t>();
-    for (const Json& command : body["orders"]) Obey(command);
+    for (const Json& command : body["orders"]) ExecuteCommand(command);
   } else if (response.status == 421 && body.contains("foreman")) {
     const auto leader = std::find(controllers_.begin(), controllers_.end(), body["foreman"]);
     if (leader != controllers_.end()) {
@@ -73,17 +73,17 @@
   loop_->StartTimer(&timer_, delay_s, [this] { SendHeartbeat(); });
 }
 
-void FakeWorker::Obey(const Json& command) {
+void FakeWorker::ExecuteCommand(const Json& command) {
   const AttemptName name(command["shard"].get<std::string>(), command["strike"].get<uint64_t>());
   const std::string verb = command["verb"];
-  const auto known = tasks_.find(name);
-  if (verb == "run" && known == tasks_.end()) {
-    tasks_[name].ends_at = net::SteadyNow() + run_s_;
-    started_.push_back(name.first);
-  } else if (verb == "halt" && known != tasks_.end() &&
-             known->second.phase == wire::TaskPhase::kRunning) {
-    known->second.phase = wire::TaskPhase::kEnded;
-    known->second.cause = wire::EndCause::kStopped;
+  const auto existing = tasks_.find(name);
+  if (verb == "run" && existing == tasks_.end()) {
+    tasks_[name].ends_at = net::SteadyNow() + task_duration_s_;
+    started_tasks_.push_back(name.first);
+  } else if (verb == "halt" && existing != tasks_.end() &&
+             existing->second.phase == wire::TaskPhase::kRunning) {
+    existing->second.phase = wire::TaskPhase::kEnded;
+    existing->second.cause = wire::EndCause::kStopped;
   } else if (verb == "clear") {
     tasks_.erase(name);
   }
--- a/src/fault_injection/fakes/run_until.cc
+++ b/src/fault_injection/fakes/run_until.cc
@@ -3,17 +3,17 @@
 namespace zinclead::fault_injection {
 namespace {
 
-constexpr double kLimitS = 60;
-constexpr double kTickS = 0.01;
+constexpr double kTimeoutS = 60;
+constexpr double kPollIntervalS = 0.01;
 
 }  // namespace
 
-bool RunUntil(net::EventLoop* loop, const std::function<bool()>& done) {
-  const double limit = net::SteadyNow() + kLimitS;
-  while (!done()) {
-    if (net::SteadyNow() > limit) return false;
-    const timeval tick = net::ToTimeval(kTickS);
-    event_base_loopexit(loop->base(), &tick);
+bool RunUntil(net::EventLoop* loop, const std::function<bool()>& is_done) {
+  const double deadline = net::SteadyNow() + kTimeoutS;
+  while (!is_done()) {
+    if (net::SteadyNow() > deadline) return false;
+    const timeval poll_interval = net::ToTimeval(kPollIntervalS);
+    event_base_loopexit(loop->base(), &poll_interval);
     event_base_dispatch(loop->base());
   }
   return true;
--- a/src/fault_injection/fakes/run_until.h
+++ b/src/fault_injection/fakes/run_until.h
@@ -8,9 +8,9 @@
 
 namespace zinclead::fault_injection {
 
-// Runs `loop` until `done` returns true, which is asked every 10 ms. Returns false after a minute
-// without, so that a test that would hang fails.
-bool RunUntil(net::EventLoop* loop, const std::function<bool()>& done);
+// Runs `loop` until `is_done` returns true, and calls it every 10 ms. Returns false after 60 s, so
+// that a test fails instead of hanging.
+bool RunUntil(net::EventLoop* loop, const std::function<bool()>& is_done);
 
 }  // namespace zinclead::fault_injection
 
--- a/src/fault_injection/scenario_runner.cc
+++ b/src/fault_injection/scenario_runner.cc
@@ -29,35 +29,37 @@
 namespace zinclead::fault_injection {
 namespace {
 
-constexpr double kReportS = 0.5;
-constexpr double kTaskS = 1;
+constexpr double kHeartbeatIntervalS = 0.5;
+constexpr double kTaskDurationS = 1;
 constexpr double kMachineCpus = 16;
-// Between a user's tries: Retry-After is in whole seconds, and the call itself takes time.
-constexpr double kRetryRoundingS = 3;
-constexpr int kAskRounds = 20;
+// Added to the wait bound: Retry-After is rounded up to seconds, and a submission itself takes
+// time.
+constexpr double kRetryAllowanceS = 3;
+constexpr int kMaxStatusQueryRounds = 20;
 constexpr const char* kLeaderKey = "zinclead/leader";
 
 volatile sig_atomic_t interrupted = 0;
 
-// SIGINT and SIGTERM end the run by an exception while one of these lives.
+// Sets `interrupted` on SIGINT and SIGTERM, on which WaitUntil() throws; restores the former
+// handlers at the end of the scope.
 class InterruptGuard {
  public:
   InterruptGuard() {
     interrupted = 0;
-    old_interrupt_ = signal(SIGINT, [](int) { interrupted = 1; });
-    old_terminate_ = signal(SIGTERM, [](int) { interrupted = 1; });
+    old_sigint_handler_ = signal(SIGINT, [](int) { interrupted = 1; });
+    old_sigterm_handler_ = signal(SIGTERM, [](int) { interrupted = 1; });
   }
   ~InterruptGuard() {
-    signal(SIGINT, old_interrupt_);
-    signal(SIGTERM, old_terminate_);
+    signal(SIGINT, old_sigint_handler_);
+    signal(SIGTERM, old_sigterm_handler_);
   }
   InterruptGuard(const InterruptGuard&) = delete;
   InterruptGuard& operator=(const InterruptGuard&) = delete;
 
  private:
   using Handler = void (*)(int);
-  Handler old_interrupt_;
-  Handler old_terminate_;
+  Handler old_sigint_handler_;
+  Handler old_sigterm_handler_;
 };
 
 std::string Format(const char* format, double value) {
@@ -66,10 +68,12 @@
   return text.data();
 }
 
-// Of a job that was never accepted.
-constexpr double kNever = 1e9;
+// Wait of a job that was never accepted.
+constexpr double kNeverAcceptedS = 1e9;
 
-std::string Seconds(double wait) { return wait >= kNever ? "never" : Format("%.1f s", wait); }
+std::string FormatWait(double wait_s) {
+  return wait_s >= kNeverAcceptedS ? "never" : Format("%.1f s", wait_s);
+}
 
 wire::MachineType ScenarioMachineType() {
   wire::MachineType type;
@@ -84,6 +88,7 @@
   return type;
 }
 
+// One run: the controllers, the fakes, and the checks of their behavior.
 class ScenarioRun {
  public:
   ScenarioRun(const Scenario& scenario, const RunOptions& options);
@@ -94,28 +99,31 @@
   std::vector<CheckResult> Run();
 
  private:
+  // The begin or end of a fault.
   struct Event {
-    double at = 0;
-    std::function<void()> happen;
+    double due_at = 0;  // on the steady clock
+    std::function<void()> action;
   };
-  ControllerOptions Options(const RunOptions& options);
-  FakeStore::InjectedFault InjectedFaultOf(const wire::Json& transaction);
-  int Leader();
-  void Wait(const std::function<bool()>& done);
+  ControllerOptions MakeControllerOptions(const RunOptions& options);
+  FakeStore::InjectedFault ChooseInjectedFault(const wire::Json& transaction);
+  // Index of the controller named in the leader key; -1: none.
+  int LeaderIndex();
+  // Runs the loop until `is_done` returns true, without a time limit. Throws when interrupted.
+  void WaitUntil(const std::function<bool()>& is_done);
   void ScheduleFaults(double start);
   void BeginFault(const Fault& fault, int controller);
   void EndFault(const Fault& fault, int controller);
-  int& UnderWay(FaultKind kind, int controller);
-  void LookForDoubleRuns();
-  std::vector<Users::Answer> AskUsers();
-
-  CheckResult AcceptedStayKnown(const std::vector<Users::Answer>& answers) const;
-  CheckResult RefusedDoNotRun(const std::vector<Users::Answer>& answers) const;
-  CheckResult RefusalsNameATime() const;
-  CheckResult WaitsAreBounded() const;
-  CheckResult ProductionFirst() const;
-  CheckResult BestEffortTrickle() const;
-  std::vector<double> WaitsOf(const std::function<bool(const UserGroup&)>& wanted) const;
+  int& ActiveFaults(FaultKind kind, int controller);
+  void FindDuplicateRuns();
+  std::vector<Users::StatusQuery> QueryJobStatuses();
+
+  CheckResult CheckAcceptedJobsAreKnown(const std::vector<Users::StatusQuery>& queries) const;
+  CheckResult CheckRefusedJobsAreUnknown(const std::vector<Users::StatusQuery>& queries) const;
+  CheckResult CheckRetryAfter() const;
+  CheckResult CheckWaitBounds() const;
+  CheckResult CheckProductionWaits() const;
+  CheckResult CheckBestEffortMinimum() const;
+  std::vector<double> SortedWaits(const std::function<bool(const UserGroup&)>& is_included) const;
 
   const Scenario scenario_;
   const uint64_t seed_;
@@ -128,9 +136,10 @@
   std::unique_ptr<Users> users_;
   std::optional<admission::Limits> limits_;
   std::vector<Event> events_;
-  // Faults of each kind under way: those that overlap end independently.
-  std::map<std::pair<FaultKind, int>, int> under_way_;
-  std::set<std::string> ran_twice_;
+  // Number of active faults by kind and controller. When faults overlap, the last one to end undoes
+  // their effect.
+  std::map<std::pair<FaultKind, int>, int> active_faults_;
+  std::set<std::string> duplicate_tasks_;
 };
 
 ScenarioRun::ScenarioRun(const Scenario& scenario, const RunOptions& options)
@@ -139,14 +148,15 @@
       operator_path_("/tmp/zinclead-scenario-" + std::to_string(getpid()) + ".xml"),
       store_(&loop_),
       write_tokens_(scenario.write_rps, scenario.write_rps),
-      controllers_(&loop_, Options(options)) {
+      controllers_(&loop_, MakeControllerOptions(options)) {
   store_.InjectFaults(
-      [this](const wire::Json& transaction) { return InjectedFaultOf(transaction); });
-  const auto nodes = controllers_.Nodes();
+      [this](const wire::Json& transaction) { return ChooseInjectedFault(transaction); });
+  const auto ports = controllers_.ListenPortsByNode();
   cloud_ = std::make_unique<FakeCloud>(
       &loop_, std::vector<wire::MachineType>{ScenarioMachineType()},
-      [this, nodes](const wire::Heartbeat& identity) {
-        return std::make_unique<FakeWorker>(&loop_, identity, nodes, kReportS, kTaskS);
+      [this, ports](const wire::Heartbeat& identity) {
+        return std::make_unique<FakeWorker>(&loop_, identity, ports, kHeartbeatIntervalS,
+                                            kTaskDurationS);
       });
   controllers_.SetEndpoints(cloud_->port(), store_.port());
   for (size_t i = 0; i < controllers_.count(); ++i) controllers_.Start(i);
@@ -154,263 +164,281 @@
   const auto operator_settings = config::LoadOperatorSettings(operator_path_);
   if (!settings || !operator_settings) {
     const config::SettingsError& error = settings ? operator_settings.error() : settings.error();
-    throw std::runtime_error("settings of the scenario: " + error.ToString());
+    throw std::runtime_error("invalid settings of a controller: " + error.ToString());
   }
   limits_ = admission::DeriveLimits(*settings, *operator_settings);
 }
 
-ControllerOptions ScenarioRun::Options(const RunOptions& options) {
-  std::ofstream(operator_path_) << "<zinclead><admission fair=\"" << (scenario_.fair ? 1 : 0)
-                                << "\"/></zinclead>\n";
-  ControllerOptions out;
-  out.program = options.program;
-  out.operator_config = operator_path_;
-  out.count = static_cast<size_t>(scenario_.controllers);
-  out.teams.clear();
-  for (int i = 0; i < scenario_.teams; ++i) out.teams.push_back("team-" + std::to_string(i));
-  out.heartbeat_interval_s = kReportS;
-  out.write_rps = scenario_.write_rps;
-  return out;
+ControllerOptions ScenarioRun::MakeControllerOptions(const RunOptions& options) {
+  std::ofstream(operator_path_) << "<zinclead><admission fair=\""
+                                << (scenario_.is_fair_admission_on ? 1 : 0) << "\"/></zinclead>\n";
+  ControllerOptions controller_options;
+  controller_options.program = options.program;
+  controller_options.operator_config = operator_path_;
+  controller_options.count = static_cast<size_t>(scenario_.controllers);
+  controller_options.teams.clear();
+  for (int i = 0; i < scenario_.teams; ++i) {
+    controller_options.teams.push_back("team-" + std::to_string(i));
+  }
+  controller_options.heartbeat_interval_s = kHeartbeatIntervalS;
+  controller_options.write_rps = scenario_.write_rps;
+  return controller_options;
 }
 
-FakeStore::InjectedFault ScenarioRun::InjectedFaultOf(const wire::Json& transaction) {
-  if (UnderWay(FaultKind::kStoreRefuses, -1) > 0) return FakeStore::InjectedFault::kRefused;
-  const auto writes = static_cast<double>(transaction["writes"].size());
-  if (!write_tokens_.Take(net::SteadyNow(), writes, core::Importance::kLeadership)) {
+FakeStore::InjectedFault ScenarioRun::ChooseInjectedFault(const wire::Json& transaction) {
+  if (ActiveFaults(FaultKind::kStoreRefusesWrites, -1) > 0) {
+    return FakeStore::InjectedFault::kRefused;
+  }
+  const auto write_count = static_cast<double>(transaction["writes"].size());
+  if (!write_tokens_.Take(net::SteadyNow(), write_count, core::Importance::kLeadership)) {
     return FakeStore::InjectedFault::kTooMany;
   }
-  if (UnderWay(FaultKind::kStoreLoses, -1) > 0) {
+  if (ActiveFaults(FaultKind::kStoreLosesResponses, -1) > 0) {
     return FakeStore::InjectedFault::kExecutedUnanswered;
   }
   return FakeStore::InjectedFault::kNormal;
 }
 
-int ScenarioRun::Leader() {
+int ScenarioRun::LeaderIndex() {
   const auto it = store_.entries().find(kLeaderKey);
   if (it == store_.entries().end()) return -1;
   const std::string name = it->second.value.value("node", std::string());
   for (size_t i = 0; i < controllers_.count(); ++i) {
-    if (ControllerProcesses::NameOf(i) == name) return static_cast<int>(i);
+    if (ControllerProcesses::NodeName(i) == name) return static_cast<int>(i);
   }
   return -1;
 }
 
-void ScenarioRun::Wait(const std::function<bool()>& done) {
-  const auto until = [&] {
-    if (interrupted != 0) throw std::runtime_error("interrupted");
-    return done();
+void ScenarioRun::WaitUntil(const std::function<bool()>& is_done) {
+  const auto is_done_or_interrupted = [&] {
+    if (interrupted != 0) throw std::runtime_error("interrupted by a signal");
+    return is_done();
   };
-  bool over = false;
-  while (!over) over = RunUntil(&loop_, until);
+  // RunUntil() returns false after a time limit of its own.
+  bool has_finished = false;
+  while (!has_finished) has_finished = RunUntil(&loop_, is_done_or_interrupted);
 }
 
 void ScenarioRun::ScheduleFaults(double start) {
   for (const Fault& fault : scenario_.faults) {
-    // The leader of that moment; the end is for the same controller.
+    // The begin of the fault resolves -1 to the current leader; the end concerns the same
+    // controller.
     auto controller = std::make_shared<int>(fault.controller);
-    events_.push_back({start + fault.at_s, [this, fault, controller] {
-                         if (*controller < 0) *controller = std::max(0, Leader());
+    events_.push_back({start + fault.start_s, [this, fault, controller] {
+                         if (*controller < 0) *controller = std::max(0, LeaderIndex());
                          BeginFault(fault, *controller);
                        }});
-    events_.push_back({start + fault.at_s + fault.for_s,
+    events_.push_back({start + fault.start_s + fault.duration_s,
                        [this, fault, controller] { EndFault(fault, *controller); }});
   }
   std::stable_sort(events_.begin(), events_.end(),
-                   [](const Event& a, const Event& b) { return a.at < b.at; });
+                   [](const Event& a, const Event& b) { return a.due_at < b.due_at; });
 }
 
 void ScenarioRun::BeginFault(const Fault& fault, int controller) {
-  ++UnderWay(fault.kind, controller);
+  ++ActiveFaults(fault.kind, controller);
   const auto index = static_cast<size_t>(controller);
   if (fault.kind == FaultKind::kPauseController) controllers_.Pause(index);
   if (fault.kind == FaultKind::kKillController) controllers_.Kill(index);
 }
 
 void ScenarioRun::EndFault(const Fault& fault, int controller) {
-  if (--UnderWay(fault.kind, controller) > 0) return;
+  if (--ActiveFaults(fault.kind, controller) > 0) return;
   const auto index = static_cast<size_t>(controller);
   if (fault.kind == FaultKind::kPauseController) controllers_.Resume(index);
   if (fault.kind != FaultKind::kKillController) return;
   controllers_.Start(index);
-  // A pause that is not over holds for the new process too.
-  if (UnderWay(FaultKind::kPauseController, controller) > 0) controllers_.Pause(index);
+  // An active pause applies to the new process too.
+  if (ActiveFaults(FaultKind::kPauseController, controller) > 0) controllers_.Pause(index);
 }
 
-// Faults of the state service have no controller.
-int& ScenarioRun::UnderWay(FaultKind kind, int controller) {
-  const bool of_controller =
+// Returns the counter of active faults. Faults of the state service share one for all controllers.
+int& ScenarioRun::ActiveFaults(FaultKind kind, int controller) {
+  const bool is_controller_fault =
       kind == FaultKind::kPauseController || kind == FaultKind::kKillController;
-  return under_way_[{kind, of_controller ? controller : -1}];
+  return active_faults_[{kind, is_controller_fault ? controller : -1}];
 }
 
-void ScenarioRun::LookForDoubleRuns() {
-  std::set<std::string> running;
+// Records every task that two workers run at this time.
+void ScenarioRun::FindDuplicateRuns() {
+  std::set<std::string> running_tasks;
   for (const auto& [id, worker] : cloud_->workers()) {
     for (const auto& [key, task] : worker->tasks()) {
       if (task.phase != wire::TaskPhase::kRunning || task.ends_at <= net::SteadyNow()) continue;
-      if (!running.insert(key.first).second) ran_twice_.insert(key.first);
+      if (!running_tasks.insert(key.first).second) duplicate_tasks_.insert(key.first);
     }
   }
 }
 
-// Asks each controller about each job. So many questions at once are not all answered: what is left
-// is asked again.
-std::vector<Users::Answer> ScenarioRun::AskUsers() {
-  std::vector<Users::Answer> answers = users_->Questions();
-  for (int round = 0; round < kAskRounds; ++round) {
-    bool all_answered = false;
-    users_->Ask(&answers, [&] { all_answered = true; });
-    Wait([&] { return all_answered; });
-    if (std::all_of(answers.begin(), answers.end(), [](const auto& a) { return a.Settled(); })) {
+// Queries every controller for every job. Repeats the queries without a usable response, because an
+// overloaded controller does not answer all of them.
+std::vector<Users::StatusQuery> ScenarioRun::QueryJobStatuses() {
+  std::vector<Users::StatusQuery> queries = users_->StatusQueries();
+  for (int round = 0; round < kMaxStatusQueryRounds; ++round) {
+    bool all_responded = false;
+    users_->SendUnsettled(&queries, [&] { all_responded = true; });
+    WaitUntil([&] { return all_responded; });
+    if (std::all_of(queries.begin(), queries.end(),
+                    [](const auto& query) { return query.IsSettled(); })) {
       break;
     }
   }
-  return answers;
+  return queries;
 }
 
 std::vector<CheckResult> ScenarioRun::Run() {
-  Wait([this] { return Leader() >= 0; });
+  WaitUntil([this] { return LeaderIndex() >= 0; });
   const double start = net::SteadyNow();
   users_ = std::make_unique<Users>(&loop_, controllers_, scenario_, start, seed_);
   ScheduleFaults(start);
   size_t next_event = 0;
-  double look_at = start;
-  Wait([&] {
+  double next_check_at = start;
+  WaitUntil([&] {
     const double now = net::SteadyNow();
-    while (next_event < events_.size() && events_[next_event].at <= now) {
-      events_[next_event++].happen();
+    while (next_event < events_.size() && events_[next_event].due_at <= now) {
+      events_[next_event++].action();
     }
-    users_->Tick(now);
-    if (now >= look_at) {
-      look_at = now + kTaskS / 4;
-      LookForDoubleRuns();
+    users_->SubmitDue(now);
+    if (now >= next_check_at) {
+      next_check_at = now + kTaskDurationS / 4;
+      FindDuplicateRuns();
     }
-    return now >= start + scenario_.seconds && next_event == events_.size() &&
-           users_->BoundedAreSettled();
+    return now >= start + scenario_.min_duration_s && next_event == events_.size() &&
+           users_->AllBoundedJobsSettled();
   });
-  const std::vector<Users::Answer> answers = AskUsers();
-  std::vector<CheckResult> findings = {AcceptedStayKnown(answers), RefusedDoNotRun(answers),
-                                       RefusalsNameATime(),        WaitsAreBounded(),
-                                       ProductionFirst(),          BestEffortTrickle()};
-  findings.push_back(
-      {"no task ran on two machines", ran_twice_.empty() ? Outcome::kHeld : Outcome::kBroken,
-       ran_twice_.empty()
-           ? Format("%.0f machines looked at", static_cast<double>(cloud_->workers().size()))
-           : "first: " + *ran_twice_.begin()});
-  std::string ended;
+  const std::vector<Users::StatusQuery> queries = QueryJobStatuses();
+  std::vector<CheckResult> results = {CheckAcceptedJobsAreKnown(queries),
+                                      CheckRefusedJobsAreUnknown(queries),
+                                      CheckRetryAfter(),
+                                      CheckWaitBounds(),
+                                      CheckProductionWaits(),
+                                      CheckBestEffortMinimum()};
+  results.push_back(
+      {"no task ran on two machines", duplicate_tasks_.empty() ? Outcome::kHeld : Outcome::kBroken,
+       duplicate_tasks_.empty()
+           ? Format("%.0f machines checked", static_cast<double>(cloud_->workers().size()))
+           : "first task: " + *duplicate_tasks_.begin()});
+  std::string exited;
   for (size_t i = 0; i < controllers_.count(); ++i) {
-    if (!controllers_.Running(i)) ended += " " + ControllerProcesses::NameOf(i);
+    if (!controllers_.IsRunning(i)) exited += " " + ControllerProcesses::NodeName(i);
   }
-  findings.push_back({"no controller ended by itself",
-                      ended.empty() ? Outcome::kHeld : Outcome::kBroken,
-                      ended.empty() ? "all run at the end" : "ended:" + ended});
-  return findings;
+  results.push_back({"no controller exited unexpectedly",
+                     exited.empty() ? Outcome::kHeld : Outcome::kBroken,
+                     exited.empty() ? "all are running" : "exited:" + exited});
+  return results;
 }
 
-CheckResult ScenarioRun::AcceptedStayKnown(const std::vector<Users::Answer>& answers) const {
-  CheckResult finding{"accepted jobs stay known at every controller", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::CheckAcceptedJobsAreKnown(
+    const std::vector<Users::StatusQuery>& queries) const {
+  CheckResult result{"accepted jobs stay known at every controller", Outcome::kNotChecked, ""};
   size_t known = 0;
-  size_t unanswered = 0;
-  for (const Users::Answer& answer : answers) {
-    const SubmittedJob& job = users_->jobs()[answer.job];
+  size_t without_response = 0;
+  for (const Users::StatusQuery& query : queries) {
+    const SubmittedJob& job = users_->jobs()[query.job];
     if (job.accepted_at < 0) continue;
-    if (answer.status == 200) ++known;
-    if (!answer.Settled()) ++unanswered;
-    if (answer.status == 404) {
-      return {finding.rule, Outcome::kBroken,
-              job.id + " is unknown at " + ControllerProcesses::NameOf(answer.controller)};
+    if (query.http_status == 200) ++known;
+    if (!query.IsSettled()) ++without_response;
+    if (query.http_status == 404) {
+      return {result.property, Outcome::kBroken,
+              job.id + " is unknown at " + ControllerProcesses::NodeName(query.controller)};
     }
   }
-  finding.evidence = Format("%.0f answers", static_cast<double>(known)) +
-                     Format(", %.0f questions without one", static_cast<double>(unanswered));
-  if (known > 0 && unanswered == 0) finding.outcome = Outcome::kHeld;
-  return finding;
+  result.evidence = Format("%.0f queries found the job", static_cast<double>(known)) +
+                    Format(", %.0f had no usable response", static_cast<double>(without_response));
+  if (known > 0 && without_response == 0) result.outcome = Outcome::kHeld;
+  return result;
 }
 
-CheckResult ScenarioRun::RefusedDoNotRun(const std::vector<Users::Answer>& answers) const {
-  CheckResult finding{"a job that was refused to the end is not taken", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::CheckRefusedJobsAreUnknown(
+    const std::vector<Users::StatusQuery>& queries) const {
+  CheckResult result{"a job whose submissions were all refused is not accepted",
+                     Outcome::kNotChecked, ""};
   size_t checked = 0;
-  for (const Users::Answer& answer : answers) {
-    const SubmittedJob& job = users_->jobs()[answer.job];
+  for (const Users::StatusQuery& query : queries) {
+    const SubmittedJob& job = users_->jobs()[query.job];
     if (!job.given_up || job.outcome_unknown) continue;
-    if (answer.status == 200) {
-      return {finding.rule, Outcome::kBroken,
-              job.id + " is known at " + ControllerProcesses::NameOf(answer.controller)};
+    if (query.http_status == 200) {
+      return {result.property, Outcome::kBroken,
+              job.id + " is known at " + ControllerProcesses::NodeName(query.controller)};
     }
-    checked += answer.status == 404 ? 1 : 0;
+    checked += query.http_status == 404 ? 1 : 0;
   }
-  finding.evidence = Format("%.0f answers", static_cast<double>(checked));
-  if (checked > 0) finding.outcome = Outcome::kHeld;
-  return finding;
+  result.evidence = Format("%.0f queries did not find the job", static_cast<double>(checked));
+  if (checked > 0) result.outcome = Outcome::kHeld;
+  return result;
 }
 
-CheckResult ScenarioRun::RefusalsNameATime() const {
+CheckResult ScenarioRun::CheckRetryAfter() const {
   size_t bad = 0;
-  for (const SubmittedJob& job : users_->jobs()) bad += job.bad_retry_after ? 1 : 0;
-  return {"each refusal names a time to come back", bad == 0 ? Outcome::kHeld : Outcome::kBroken,
-          Format("%.0f submissions sent", static_cast<double>(users_->tries())) +
+  for (const SubmittedJob& job : users_->jobs()) bad += job.has_bad_retry_after ? 1 : 0;
+  return {"each refusal has a Retry-After in range", bad == 0 ? Outcome::kHeld : Outcome::kBroken,
+          Format("%.0f submissions sent", static_cast<double>(users_->submission_count())) +
               Format(", %.0f jobs with a bad Retry-After", static_cast<double>(bad))};
 }
 
-// In order; jobs that were not accepted count as waiting for ever.
-std::vector<double> ScenarioRun::WaitsOf(
-    const std::function<bool(const UserGroup&)>& wanted) const {
+// Waits for acceptance in ascending order; kNeverAcceptedS for each job that was not accepted.
+std::vector<double> ScenarioRun::SortedWaits(
+    const std::function<bool(const UserGroup&)>& is_included) const {
   std::vector<double> waits;
   for (const SubmittedJob& job : users_->jobs()) {
-    if (!wanted(job.group)) continue;
-    waits.push_back(job.accepted_at < 0 ? kNever : job.accepted_at - job.begins_at);
+    if (!is_included(job.group)) continue;
+    waits.push_back(job.accepted_at < 0 ? kNeverAcceptedS
+                                        : job.accepted_at - job.first_submission_at);
   }
   std::sort(waits.begin(), waits.end());
   return waits;
 }
 
-CheckResult ScenarioRun::WaitsAreBounded() const {
-  CheckResult finding{"bounded users are accepted within the bound", Outcome::kNotChecked, ""};
+CheckResult ScenarioRun::CheckWaitBounds() const {
+  CheckResult result{"jobs with a wait bound are accepted within it", Outcome::kNotChecked, ""};
   for (const auto& [label, tier] : wire::kPriorities) {
-    const auto waits = WaitsOf(
-        [tier = tier](const UserGroup& group) { return group.bounded && group.tier == tier; });
+    const auto waits = SortedWaits([tier = tier](const UserGroup& group) {
+      return group.has_wait_bound && group.tier == tier;
+    });
     if (waits.empty()) continue;
-    const double bound =
-        limits_->WaitBound(admission::TierOf(tier)) + kRetryRoundingS + scenario_.extra_wait_s;
-    if (finding.outcome == Outcome::kNotChecked) finding.outcome = Outcome::kHeld;
-    if (waits.back() > bound) finding.outcome = Outcome::kBroken;
-    const auto late = waits.end() - std::lower_bound(waits.begin(), waits.end(), kNever);
-    finding.evidence += std::string(finding.evidence.empty() ? "" : "; ") + label + " p50 " +
-                        Seconds(waits[waits.size() / 2]) + ", p99 " +
-                        Seconds(waits[waits.size() * 99 / 100]) + ", worst " +
-                        Seconds(waits.back()) + Format(" of %.1f s", bound) +
-                        Format(" (%.0f jobs,", static_cast<double>(waits.size())) +
-                        Format(" %.0f never accepted)", static_cast<double>(late));
+    const double bound_s =
+        limits_->WaitBound(admission::TierOf(tier)) + kRetryAllowanceS + scenario_.extra_wait_s;
+    if (result.outcome == Outcome::kNotChecked) result.outcome = Outcome::kHeld;
+    if (waits.back() > bound_s) result.outcome = Outcome::kBroken;
+    const auto never_accepted_count =
+        waits.end() - std::lower_bound(waits.begin(), waits.end(), kNeverAcceptedS);
+    result.evidence += std::string(result.evidence.empty() ? "" : "; ") + label + " p50 " +
+                       FormatWait(waits[waits.size() / 2]) + ", p99 " +
+                       FormatWait(waits[waits.size() * 99 / 100]) + ", worst " +
+                       FormatWait(waits.back()) + Format(", bound %.1f s", bound_s) +
+                       Format(" (%.0f jobs,", static_cast<double>(waits.size())) +
+                       Format(" %.0f never accepted)", static_cast<double>(never_accepted_count));
   }
-  return finding;
+  return result;
 }
 
-CheckResult ScenarioRun::ProductionFirst() const {
+CheckResult ScenarioRun::CheckProductionWaits() const {
   const auto median = [this](wire::Priority tier) -> std::optional<double> {
-    const auto waits = WaitsOf([tier](const UserGroup& group) { return group.tier == tier; });
+    const auto waits = SortedWaits([tier](const UserGroup& group) { return group.tier == tier; });
     if (waits.empty()) return std::nullopt;
     return waits[waits.size() / 2];
   };
-  const auto first = median(wire::Priority::kProduction);
-  const auto last = median(wire::Priority::kLow);
-  CheckResult finding{"production waits no longer than best effort", Outcome::kNotChecked, ""};
-  if (!first || !last) return finding;
-  finding.outcome = *first <= *last + 1 ? Outcome::kHeld : Outcome::kBroken;
-  finding.evidence = "medians " + Seconds(*first) + " and " + Seconds(*last);
-  return finding;
+  const auto production = median(wire::Priority::kProduction);
+  const auto best_effort = median(wire::Priority::kLow);
+  CheckResult result{"production waits no longer than best effort", Outcome::kNotChecked, ""};
+  if (!production || !best_effort) return result;
+  result.outcome = *production <= *best_effort + 1 ? Outcome::kHeld : Outcome::kBroken;
+  result.evidence = "median waits " + FormatWait(*production) + " and " + FormatWait(*best_effort);
+  return result;
 }
 
-CheckResult ScenarioRun::BestEffortTrickle() const {
-  CheckResult finding{"best effort gets its trickle", Outcome::kNotChecked, ""};
-  if (scenario_.best_effort_at_least == 0) return finding;
+CheckResult ScenarioRun::CheckBestEffortMinimum() const {
+  CheckResult result{"enough best-effort jobs are accepted", Outcome::kNotChecked, ""};
+  if (scenario_.min_best_effort_accepted == 0) return result;
   const auto& jobs = users_->jobs();
   const auto accepted = std::count_if(jobs.begin(), jobs.end(), [](const SubmittedJob& job) {
     return job.accepted_at >= 0 && job.group.tier == wire::Priority::kLow;
   });
-  finding.outcome = accepted >= scenario_.best_effort_at_least ? Outcome::kHeld : Outcome::kBroken;
-  finding.evidence = Format("%.0f accepted", static_cast<double>(accepted)) +
-                     Format(", expected %.0f", scenario_.best_effort_at_least);
-  return finding;
+  result.outcome =
+      accepted >= scenario_.min_best_effort_accepted ? Outcome::kHeld : Outcome::kBroken;
+  result.evidence = Format("%.0f accepted", static_cast<double>(accepted)) +
+                    Format(", minimum %.0f", scenario_.min_best_effort_accepted);
+  return result;
 }
 
 }  // namespace
--- a/src/fault_injection/scenario_runner.h
+++ b/src/fault_injection/scenario_runner.h
@@ -1,4 +1,5 @@
-// Plays a scenario against real controllers and stand-ins, and judges what happened.
+// Runs a scenario with real controllers against fakes of the cloud, the state service, the workers
+// and the users, and checks the properties that must hold.
 #ifndef ZINCLEAD_FAULT_INJECTION_SCENARIO_RUNNER_H_
 #define ZINCLEAD_FAULT_INJECTION_SCENARIO_RUNNER_H_
 
@@ -10,20 +11,24 @@
 
 namespace zinclead::fault_injection {
 
+// kNotChecked: the scenario gave nothing to check the property on.
 enum class Outcome : uint8_t { kHeld, kBroken, kNotChecked };
 
+// The result of one check.
 struct CheckResult {
-  std::string rule;
+  std::string property;  // the statement that must hold
   Outcome outcome = Outcome::kNotChecked;
-  std::string evidence;
+  std::string evidence;  // figures, or the first violation
 };
 
 struct RunOptions {
-  std::string program;  // zinclead
-  uint64_t seed = 1;
+  std::string program;  // path of zinclead
+  uint64_t seed = 1;    // determines the controller that gets the first submission of each job
 };
 
-// Ends every process that it started, also when it throws or the caller is interrupted.
+// Runs the scenario to its end and returns the result of every check. Kills the controllers that it
+// started before it returns or throws. Throws std::runtime_error on SIGINT or SIGTERM, for which it
+// replaces the handlers, and if a controller or its settings can't be set up. Not reentrant.
 std::vector<CheckResult> RunScenario(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace zinclead::fault_injection
--- a/src/fault_injection/users.cc
+++ b/src/fault_injection/users.cc
@@ -9,11 +9,11 @@
 namespace zinclead::fault_injection {
 namespace {
 
-constexpr size_t kConnections = 100;
-constexpr size_t kQueue = 200'000;
-constexpr double kConnectRetryS = 1;
-// Answers that are waited for at the end may come from a controller that was just started.
-constexpr double kAskTimeoutS = 30;
+constexpr size_t kConnectionsPerController = 100;
+constexpr size_t kMaxQueuedRequests = 200'000;
+constexpr double kMinRetryDelayS = 1;
+// Longer than the start of a controller and the loading of its records.
+constexpr double kStatusQueryTimeoutS = 30;
 
 std::string SubmissionBody(const SubmittedJob& job) {
   wire::JobSpec spec;
@@ -36,7 +36,8 @@
              double start, uint64_t seed) {
   for (size_t i = 0; i < controllers.count(); ++i) {
     clients_.push_back(std::make_unique<net::HttpClient>(
-        loop, "127.0.0.1", controllers.listen_port(i), kConnections, kQueue, size_t{1} << 16));
+        loop, "127.0.0.1", controllers.listen_port(i), kConnectionsPerController,
+        kMaxQueuedRequests, size_t{1} << 16));
   }
   std::mt19937_64 random(seed);
   for (const UserGroup& group : scenario.users) {
@@ -44,37 +45,37 @@
       SubmittedJob job;
       job.id = "req-" + std::to_string(100'000 + jobs_.size());
       job.group = group;
-      job.begins_at = start + group.start_s + group.over_s * i / group.count;
-      due_.emplace(job.begins_at, jobs_.size());
+      job.first_submission_at = start + group.start_s + group.submission_period_s * i / group.count;
+      due_submissions_.emplace(job.first_submission_at, jobs_.size());
       jobs_.push_back(std::move(job));
       next_controller_.push_back(random() % clients_.size());
     }
   }
 }
 
-void Users::Tick(double now) {
-  while (!due_.empty() && due_.top().first <= now) {
-    const size_t index = due_.top().second;
-    due_.pop();
+void Users::SubmitDue(double now) {
+  while (!due_submissions_.empty() && due_submissions_.top().first <= now) {
+    const size_t index = due_submissions_.top().second;
+    due_submissions_.pop();
     Submit(index, now);
   }
 }
 
 void Users::Submit(size_t index, double now) {
   SubmittedJob& job = jobs_[index];
-  if (now - job.begins_at > admission::kUserRetryLimitS) {
+  if (now - job.first_submission_at > admission::kUserRetryLimitS) {
     job.given_up = true;
     return;
   }
-  ++job.tries;
-  ++tries_;
+  ++job.submission_count;
+  ++submission_count_;
   const size_t controller = next_controller_[index]++ % clients_.size();
   clients_[controller]->Call(
       "POST", std::string(wire::kJobsPath), SubmissionBody(job), wire::kSubmitTimeoutS,
-      [this, index](const net::Response& response) { OnAnswer(index, response); });
+      [this, index](const net::Response& response) { OnResponse(index, response); });
 }
 
-void Users::OnAnswer(size_t index, const net::Response& response) {
+void Users::OnResponse(size_t index, const net::Response& response) {
   SubmittedJob& job = jobs_[index];
   const double now = net::SteadyNow();
   if (response.status == 200 || response.status == 201) {
@@ -83,42 +84,44 @@
   }
   const bool refused = response.status == 429;
   if (!refused) job.outcome_unknown = true;
-  const int named = response.retry_after_s;
-  if (refused && (named < 1 || named > admission::kMaxRetryAfterS)) job.bad_retry_after = true;
-  const double wait = job.group.heeds_retry_after
-                          ? std::max(kConnectRetryS, static_cast<double>(named))
-                          : kConnectRetryS;
-  due_.emplace(now + wait, index);
+  const int retry_after_s = response.retry_after_s;
+  if (refused && (retry_after_s < 1 || retry_after_s > admission::kMaxRetryAfterS)) {
+    job.has_bad_retry_after = true;
+  }
+  const double delay_s = job.group.heeds_retry_after
+                             ? std::max(kMinRetryDelayS, static_cast<double>(retry_after_s))
+                             : kMinRetryDelayS;
+  due_submissions_.emplace(now + delay_s, index);
 }
 
-bool Users::BoundedAreSettled() const {
+bool Users::AllBoundedJobsSettled() const {
   return std::all_of(jobs_.begin(), jobs_.end(), [](const SubmittedJob& job) {
-    return !job.group.bounded || job.accepted_at >= 0 || job.given_up;
+    return !job.group.has_wait_bound || job.accepted_at >= 0 || job.given_up;
   });
 }
 
-std::vector<Users::Answer> Users::Questions() const {
-  std::vector<Answer> questions;
+std::vector<Users::StatusQuery> Users::StatusQueries() const {
+  std::vector<StatusQuery> queries;
   for (size_t controller = 0; controller < clients_.size(); ++controller) {
-    for (size_t job = 0; job < jobs_.size(); ++job) questions.push_back({job, controller, 0});
+    for (size_t job = 0; job < jobs_.size(); ++job) queries.push_back({job, controller, 0});
   }
-  return questions;
+  return queries;
 }
 
-void Users::Ask(std::vector<Answer>* answers, std::function<void()> done) {
-  auto left = std::make_shared<size_t>(0);
+void Users::SendUnsettled(std::vector<StatusQuery>* queries, std::function<void()> done) {
+  auto outstanding = std::make_shared<size_t>(0);
   const auto finish = std::make_shared<std::function<void()>>(std::move(done));
-  for (Answer& answer : *answers) {
-    if (answer.Settled()) continue;
-    ++*left;
-    const std::string path = std::string(wire::kJobsPath) + "/" + jobs_[answer.job].id;
-    clients_[answer.controller]->Call("GET", path, "", kAskTimeoutS,
-                                      [left, finish, &answer](const net::Response& response) {
-                                        answer.status = response.status;
-                                        if (--*left == 0) (*finish)();
-                                      });
+  for (StatusQuery& query : *queries) {
+    if (query.IsSettled()) continue;
+    ++*outstanding;
+    const std::string path = std::string(wire::kJobsPath) + "/" + jobs_[query.job].id;
+    clients_[query.controller]->Call("GET", path, "", kStatusQueryTimeoutS,
+                                     [outstanding, finish, &query](const net::Response& response) {
+                                       query.http_status = response.status;
+                                       if (--*outstanding == 0) (*finish)();
+                                     });
   }
-  if (*left == 0) (*finish)();
+  if (*outstanding == 0) (*finish)();
 }
 
 }  // namespace zinclead::fault_injection
--- a/src/fault_injection/users.h
+++ b/src/fault_injection/users.h
@@ -1,4 +1,5 @@
-// Users of a scenario: they submit, retry as PROTOCOL says, and keep what they were told.
+// Simulated users of a scenario: submit jobs, retry refused submissions as PROTOCOL requires, and
+// record the responses.
 #ifndef ZINCLEAD_FAULT_INJECTION_USERS_H_
 #define ZINCLEAD_FAULT_INJECTION_USERS_H_
 
@@ -17,54 +18,60 @@
 
 namespace zinclead::fault_injection {
 
+// A job and the responses to its submissions. Times are on the steady clock, in seconds.
 struct SubmittedJob {
   std::string id;
   UserGroup group;
-  double begins_at = 0;
-  double accepted_at = -1;
-  bool given_up = false;
-  bool outcome_unknown =
-      false;  // some try had no answer, or one that leaves open what became of it
-  bool bad_retry_after = false;
-  int tries = 0;
+  double first_submission_at = 0;
+  double accepted_at = -1;  // -1: not accepted
+  bool given_up = false;    // the retry limit has passed without an acceptance
+  // A submission had no response, or one that does not say whether the job was accepted.
+  bool outcome_unknown = false;
+  bool has_bad_retry_after = false;  // a refusal had a Retry-After out of range
+  int submission_count = 0;
 };
 
+// Belongs to the loop's thread.
 class Users {
  public:
+  // `start` is the start of the scenario on the steady clock; `seed` determines the controller that
+  // gets the first submission of each job. `loop` must outlive the users.
   Users(net::EventLoop* loop, const ControllerProcesses& controllers, const Scenario& scenario,
         double start, uint64_t seed);
 
-  // Submits what is due. Call often.
-  void Tick(double now);
-  // A question about a job to one controller, and the status of its answer.
-  struct Answer {
-    size_t job = 0;
-    size_t controller = 0;
-    int status = 0;
-    bool Settled() const { return status == 200 || status == 404; }
+  // Sends the submissions that are due. To be called often, with the time on the steady clock.
+  void SubmitDue(double now);
+  // A query for the status of one job at one controller.
+  struct StatusQuery {
+    size_t job = 0;         // index in jobs()
+    size_t controller = 0;  // index of the controller
+    int http_status = 0;    // of the response; 0: none
+    // Whether the controller has said that it knows the job, or that it does not.
+    bool IsSettled() const { return http_status == 200 || http_status == 404; }
   };
-  // All questions that can be asked.
-  std::vector<Answer> Questions() const;
-  // Asks those that are not settled once more; `done` is called after the last answer. `answers`
-  // must outlive the call.
-  void Ask(std::vector<Answer>* answers, std::function<void()> done);
+  // A query for every job at every controller, not sent yet.
+  std::vector<StatusQuery> StatusQueries() const;
+  // Sends the queries that are not settled, and calls `done` after the last response. `queries`
+  // must stay valid and unchanged in size until then.
+  void SendUnsettled(std::vector<StatusQuery>* queries, std::function<void()> done);
 
-  // No user of a bounded group is still trying.
-  bool BoundedAreSettled() const;
+  // Whether every job with a wait bound is accepted or given up.
+  bool AllBoundedJobsSettled() const;
 
   const std::vector<SubmittedJob>& jobs() const { return jobs_; }
-  uint64_t tries() const { return tries_; }
+  // Submissions sent for all jobs, retries included.
+  uint64_t submission_count() const { return submission_count_; }
 
  private:
   void Submit(size_t index, double now);
-  void OnAnswer(size_t index, const net::Response& response);
+  void OnResponse(size_t index, const net::Response& response);
 
-  std::vector<std::unique_ptr<net::HttpClient>> clients_;
+  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by controller
   std::vector<SubmittedJob> jobs_;
-  std::vector<size_t> next_controller_;
-  using Due = std::pair<double, size_t>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  uint64_t tries_ = 0;
+  std::vector<size_t> next_controller_;  // by job; counts up, modulo the number of controllers
+  using DueSubmission = std::pair<double, size_t>;  // time on the steady clock, index of the job
+  std::priority_queue<DueSubmission, std::vector<DueSubmission>, std::greater<>> due_submissions_;
+  uint64_t submission_count_ = 0;
 };
 
 }  // namespace zinclead::fault_injection
--- a/tests/e2e_test.cc
+++ b/tests/e2e_test.cc
@@ -1,4 +1,5 @@
-// Three real processes against the fakes on loopback; the leader is killed and restarted.
+// Three controller processes against the fakes on loopback: jobs survive the loss of the leader and
+// of all controllers.
 
 #include <gtest/gtest.h>
 
@@ -19,23 +20,23 @@
 using fault_injection::FakeWorker;
 using wire::Json;
 
-fault_injection::ControllerOptions Options() {
+fault_injection::ControllerOptions MakeControllerOptions() {
   fault_injection::ControllerOptions options;
   options.program = ZINCLEAD_PROGRAM;
   return options;
 }
 
-class Cluster3 : public ::testing::Test {
+class ThreeControllers : public ::testing::Test {
  protected:
   using Peers = fault_injection::ControllerProcesses::Peers;
 
   void SetUp() override {
     store_ = std::make_unique<FakeStore>(&loop_);
-    const std::map<std::string, uint16_t> nodes = controllers_.Nodes();
+    const std::map<std::string, uint16_t> ports = controllers_.ListenPortsByNode();
     cloud_ = std::make_unique<FakeCloud>(
         &loop_, std::vector<wire::MachineType>{MakeType("c4", 4, 1.0)},
-        [this, nodes](const wire::Heartbeat& identity) {
-          return std::make_unique<FakeWorker>(&loop_, identity, nodes, 0.2, 0.5);
+        [this, ports](const wire::Heartbeat& identity) {
+          return std::make_unique<FakeWorker>(&loop_, identity, ports, 0.2, 0.5);
         });
     controllers_.SetEndpoints(cloud_->port(), store_->port());
     for (size_t i = 0; i < controllers_.count(); ++i) {
@@ -49,36 +50,41 @@
     controllers_.Start(static_cast<size_t>(i), peers);
   }
   void Kill(int i) { controllers_.Kill(static_cast<size_t>(i)); }
-  int Leader() {
+  // Index of the controller named in the leader key; -1: none.
+  int LeaderIndex() {
     const auto it = store_->entries().find("zinclead/leader");
     if (it == store_->entries().end()) return -1;
     return it->second.value["node"].get<std::string>()[1] - '0';
   }
 
-  bool Until(const std::function<bool()>& done) { return fault_injection::RunUntil(&loop_, done); }
-  net::Response Ask(int node, const char* method, const std::string& path,
-                    const std::string& body = "") {
-    bool done = false;
-    net::Response answer;
+  // Runs the loop until `is_done` returns true. Returns false after a time limit.
+  bool RunLoopUntil(const std::function<bool()>& is_done) {
+    return fault_injection::RunUntil(&loop_, is_done);
+  }
+  // Sends one request and waits for its response; status 0: no response.
+  net::Response Send(int node, const char* method, const std::string& path,
+                     const std::string& body = "") {
+    bool has_response = false;
+    net::Response response;
     clients_[static_cast<size_t>(node)]->Call(method, path, body, 5, [&](net::Response r) {
-      answer = std::move(r);
-      done = true;
+      response = std::move(r);
+      has_response = true;
     });
-    Until([&] { return done; });
-    return answer;
+    RunLoopUntil([&] { return has_response; });
+    return response;
   }
-  // Like a user: repeats a call that could not be taken.
-  net::Response AskUntilTaken(int node, const char* method, const std::string& path,
-                              const std::string& body = "") {
-    net::Response answer;
-    Until([&] {
-      answer = Ask(node, method, path, body);
-      return answer.status != 0 && answer.status != 503 && answer.status != 429;
+  // Repeats the request, like a user, while the response is missing, 429 or 503.
+  net::Response SendUntilProcessed(int node, const char* method, const std::string& path,
+                                   const std::string& body = "") {
+    net::Response response;
+    RunLoopUntil([&] {
+      response = Send(node, method, path, body);
+      return response.status != 0 && response.status != 503 && response.status != 429;
     });
-    return answer;
+    return response;
   }
   std::string PhaseOf(int node, const std::string& id) {
-    const net::Response r = AskUntilTaken(node, "GET", "/submissions/" + id);
+    const net::Response r = SendUntilProcessed(node, "GET", "/submissions/" + id);
     if (r.status != 200) return std::to_string(r.status);
     return Json::parse(r.body)["phase"];
   }
@@ -87,45 +93,51 @@
   std::unique_ptr<FakeStore> store_;
   std::unique_ptr<FakeCloud> cloud_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
-  fault_injection::ControllerProcesses controllers_{&loop_, Options()};
+  fault_injection::ControllerProcesses controllers_{&loop_, MakeControllerOptions()};
 };
 
-TEST_F(Cluster3, ServesAndSurvivesItsLeader) {
+// Accepted jobs must stay known and no running service may be started again after the leader, and
+// later every controller, is killed.
+TEST_F(ThreeControllers, JobsSurviveLossOfTheLeaderAndOfAllControllers) {
   const std::string job1 = ToJson(MakeJob("req-000001", 6)).dump();
-  ASSERT_TRUE(Until([&] { return Leader() >= 0; }));
-  const int follower = (Leader() + 1) % 3;
+  ASSERT_TRUE(RunLoopUntil([&] { return LeaderIndex() >= 0; }));
+  const int follower = (LeaderIndex() + 1) % 3;
 
-  // Any node takes calls; bad ones get their answer.
+  // Every controller accepts requests, and responds to invalid ones with an error status.
   for (int i = 0; i < 3; ++i) {
-    ASSERT_TRUE(Until([&] { return Ask(i, "GET", "/healthz").status == 200; }));
+    ASSERT_TRUE(RunLoopUntil([&] { return Send(i, "GET", "/healthz").status == 200; }));
   }
-  EXPECT_EQ(Ask(follower, "GET", "/nowhere").status, 404);
-  EXPECT_EQ(Ask(follower, "GET", "/submissions").status, 405);
-  EXPECT_EQ(Ask(follower, "POST", "/submissions", "{").status, 400);
-  EXPECT_EQ(Ask(follower, "POST", "/submissions", std::string(70'000, 'x')).status, 400);
+  EXPECT_EQ(Send(follower, "GET", "/nowhere").status, 404);
+  EXPECT_EQ(Send(follower, "GET", "/submissions").status, 405);
+  EXPECT_EQ(Send(follower, "POST", "/submissions", "{").status, 400);
+  EXPECT_EQ(Send(follower, "POST", "/submissions", std::string(70'000, 'x')).status, 400);
   wire::JobSpec huge = MakeJob("req-000009");
   huge.cpus = 1000;
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", ToJson(huge).dump()).status, 422);
-  EXPECT_EQ(AskUntilTaken(follower, "GET", "/submissions/req-000404").status, 404);
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", job1).status, 201);
-  EXPECT_EQ(AskUntilTaken(Leader(), "POST", "/submissions", job1).status, 200);
-  // However its submission is repeated, an accepted job is never refused; another one is.
-  const std::string lacking = R"({"uid":"req-000001","crew":"nobody"})";
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", lacking).status, 200);
-  EXPECT_EQ(AskUntilTaken(Leader(), "POST", "/submissions", lacking).status, 200);
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", R"({"uid":"req-000008"})").status, 400);
-  ASSERT_TRUE(Until([&] { return PhaseOf(follower, "req-000001") == "done"; }));
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", lacking).status, 200);
-
-  // A service runs through the death of the leader, and is not started a second time.
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", ToJson(huge).dump()).status, 422);
+  EXPECT_EQ(SendUntilProcessed(follower, "GET", "/submissions/req-000404").status, 404);
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", job1).status, 201);
+  EXPECT_EQ(SendUntilProcessed(LeaderIndex(), "POST", "/submissions", job1).status, 200);
+  // A repeated submission of an accepted job is never refused, even without required fields. An
+  // incomplete submission with a new id is.
+  const std::string incomplete = R"({"uid":"req-000001","crew":"nobody"})";
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", incomplete).status, 200);
+  EXPECT_EQ(SendUntilProcessed(LeaderIndex(), "POST", "/submissions", incomplete).status, 200);
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", R"({"uid":"req-000008"})").status,
+            400);
+  ASSERT_TRUE(RunLoopUntil([&] { return PhaseOf(follower, "req-000001") == "done"; }));
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", incomplete).status, 200);
+
+  // The tasks of a service keep running when the leader is killed, and are not started again.
   wire::JobSpec service = MakeJob("req-000002", 2);
   service.kind = wire::JobKind::kService;
-  EXPECT_EQ(AskUntilTaken(follower, "POST", "/submissions", ToJson(service).dump()).status, 201);
-  const auto starts = [&] {
+  EXPECT_EQ(SendUntilProcessed(follower, "POST", "/submissions", ToJson(service).dump()).status,
+            201);
+  // Counts the starts of the service's tasks, and keeps these tasks running.
+  const auto start_count = [&] {
     size_t count = 0;
     for (const auto& [id, worker] : cloud_->workers()) {
       count += static_cast<size_t>(
-          std::count_if(worker->started().begin(), worker->started().end(),
+          std::count_if(worker->started_tasks().begin(), worker->started_tasks().end(),
                         [](const std::string& task) { return task.starts_with("req-000002/"); }));
       for (auto& [key, task] : worker->tasks()) {
         if (key.first.starts_with("req-000002/")) task.ends_at = 1e18;
@@ -133,30 +145,31 @@
     }
     return count;
   };
-  ASSERT_TRUE(Until([&] { return starts() == 2; }));
-  const int old_leader = Leader();
+  ASSERT_TRUE(RunLoopUntil([&] { return start_count() == 2; }));
+  const int old_leader = LeaderIndex();
   Kill(old_leader);
-  ASSERT_TRUE(Until([&] { return Leader() >= 0 && Leader() != old_leader; }));
-  const int second = Leader();
-  EXPECT_EQ(AskUntilTaken(second, "GET", "/submissions/req-000001").status, 200);
-  EXPECT_EQ(PhaseOf(second, "req-000001"), "done");
-  EXPECT_EQ(AskUntilTaken(second, "POST", "/submissions", job1).status, 200);
-  ASSERT_TRUE(Until([&] { return PhaseOf(second, "req-000002") == "running"; }));
-  EXPECT_EQ(starts(), 2U);
-
-  // The killed one comes back and hands calls on; all of them die and nothing told is lost.
+  ASSERT_TRUE(RunLoopUntil([&] { return LeaderIndex() >= 0 && LeaderIndex() != old_leader; }));
+  const int new_leader = LeaderIndex();
+  EXPECT_EQ(SendUntilProcessed(new_leader, "GET", "/submissions/req-000001").status, 200);
+  EXPECT_EQ(PhaseOf(new_leader, "req-000001"), "done");
+  EXPECT_EQ(SendUntilProcessed(new_leader, "POST", "/submissions", job1).status, 200);
+  ASSERT_TRUE(RunLoopUntil([&] { return PhaseOf(new_leader, "req-000002") == "running"; }));
+  EXPECT_EQ(start_count(), 2U);
+
+  // The former leader restarts and forwards requests. After all controllers are killed and started
+  // again, every accepted job is still known.
   Start(old_leader);
-  EXPECT_EQ(
-      AskUntilTaken(old_leader, "POST", "/submissions", ToJson(MakeJob("req-000003", 3)).dump())
-          .status,
-      201);
+  EXPECT_EQ(SendUntilProcessed(old_leader, "POST", "/submissions",
+                               ToJson(MakeJob("req-000003", 3)).dump())
+                .status,
+            201);
   for (int i = 0; i < 3; ++i) Kill(i);
   for (int i = 0; i < 3; ++i) Start(i);
-  ASSERT_TRUE(Until([&] { return PhaseOf(0, "req-000003") == "done"; }));
-  const net::Response cancelled = AskUntilTaken(1, "POST", "/submissions/req-000002/abort");
+  ASSERT_TRUE(RunLoopUntil([&] { return PhaseOf(0, "req-000003") == "done"; }));
+  const net::Response cancelled = SendUntilProcessed(1, "POST", "/submissions/req-000002/abort");
   EXPECT_EQ(cancelled.status, 200);
   EXPECT_EQ(Json::parse(cancelled.body)["phase"], "cancelled");
-  ASSERT_TRUE(Until([&] {
+  ASSERT_TRUE(RunLoopUntil([&] {
     for (const auto& [id, worker] : cloud_->workers()) {
       for (const auto& [key, task] : worker->tasks()) {
         if (key.first.starts_with("req-000002/")) return false;
@@ -164,22 +177,22 @@
     }
     return true;
   }));
-  EXPECT_EQ(starts(), 2U);
+  EXPECT_EQ(start_count(), 2U);
   EXPECT_EQ(PhaseOf(2, "req-000002"), "cancelled");
 }
 
-// Connections to the other controllers are refused, but the state service shows that one of them
-// leads: users are sent elsewhere until it can reach the leader.
-TEST_F(Cluster3, NodeThatCannotReachTheLeaderIsNotHealthy) {
-  ASSERT_TRUE(Until([&] { return Leader() >= 0; }));
-  const int follower = (Leader() + 1) % 3;
+// A follower that reads from the state service which controller leads, but cannot connect to it,
+// must report that it is unhealthy, so that users are sent to other controllers until it can.
+TEST_F(ThreeControllers, FollowerThatCannotReachTheLeaderIsNotHealthy) {
+  ASSERT_TRUE(RunLoopUntil([&] { return LeaderIndex() >= 0; }));
+  const int follower = (LeaderIndex() + 1) % 3;
   Kill(follower);
   Start(follower, Peers::kNone);
-  ASSERT_TRUE(Until([&] { return Ask(follower, "GET", "/healthz").status == 503; }));
-  EXPECT_EQ(Ask(Leader(), "GET", "/healthz").status, 200);
+  ASSERT_TRUE(RunLoopUntil([&] { return Send(follower, "GET", "/healthz").status == 503; }));
+  EXPECT_EQ(Send(LeaderIndex(), "GET", "/healthz").status, 200);
   Kill(follower);
   Start(follower);
-  ASSERT_TRUE(Until([&] { return Ask(follower, "GET", "/healthz").status == 200; }));
+  ASSERT_TRUE(RunLoopUntil([&] { return Send(follower, "GET", "/healthz").status == 200; }));
 }
 
 }  // namespace
--- a/tests/model_check.sh
+++ b/tests/model_check.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Checks models/admission.pml with Spin: the assertions and the liveness property hold, and the
-# checker finds the fault in each variant that lacks a guard. Usage: model_check.sh MODEL WORK_DIR
+# Checks models/admission.pml with Spin: the assertions and the liveness property must hold, and the
+# checker must find a violation in each variant without one of the guards.
+# Usage: model_check.sh MODEL WORK_DIR
 set -euo pipefail
 model=$(realpath "$1")
 mkdir -p "$2"
 cd "$2"
 
-# Prints "held" or "broken" for the model built with the given macros.
+# Prints "held", "broken" or "unfinished" for the model built with the given macros.
 verdict() {
   local kind=$1
   shift
@@ -15,7 +16,7 @@
   local build=(-DSAFETY -DNOCLAIM) search=()
   [ "$kind" = liveness ] && build=(-DNFAIR=4) && search=(-a -f)
   gcc -O2 -w -DMEMLIM=1024 "${build[@]}" -o pan pan.c
-  # Every state must be visited: a search that was cut short proves nothing.
+  # A property holds only if the search visited every state; a truncated search proves nothing.
   timeout 60 ./pan -m1000000 "${search[@]}" > pan.log
   if grep -q 'errors: 0' pan.log && ! grep -q 'Search not completed\|max search depth too small' pan.log; then
     echo held
--- a/tests/scenarios/short_flood.lua
+++ b/tests/scenarios/short_flood.lua
@@ -1,9 +1,10 @@
--- For CI: a flood in which the leader stands still and another one ends, in half a minute.
+-- For CI, 30 seconds: during a flood of submissions the leader is paused, the state service loses
+-- responses, and controller 0 is killed.
 local users = {
   { team = 0, tier = "standard", count = 1500, over_s = 8, heeds_retry_after = false },
 }
 for team = 1, 3 do
-  local over_s = random(4, 7) -- the same for all tiers, so that their waits can be compared
+  local over_s = random(4, 7) -- equal for all tiers, so that their waits can be compared
   for _, tier in ipairs({ "prod", "standard", "best_effort" }) do
     users[#users + 1] =
       { team = team, tier = tier, count = 3, start_s = 1, over_s = over_s, bounded = true }
