--- a/src/core/scheduling/upcoming_capacity.cc
+++ b/src/core/scheduling/upcoming_capacity.cc
@@ -46,8 +46,9 @@
 }
 
 bool UpcomingCapacity::IsUpcoming(const Machine& machine) const {
-  if (!machine.Schedulable() || machine.type == nullptr || machine.known_only_from_list)
+  if (!machine.Schedulable() || machine.type == nullptr || machine.known_only_from_list) {
     return false;
+  }
   if (machine.stage == MachineStage::kBooting) {
     // A machine that boots for longer may never come up.
     return context_.now - machine.requested_at <=
--- a/src/fault_injection/users.cc
+++ b/src/fault_injection/users.cc
@@ -85,8 +85,9 @@
   const bool refused = response.status == 429;
   if (!refused) job.outcome_unknown = true;
   const int retry_after_s = response.retry_after_s;
-  if (refused && (retry_after_s < 1 || retry_after_s > admission::kMaxRetryAfterS))
+  if (refused && (retry_after_s < 1 || retry_after_s > admission::kMaxRetryAfterS)) {
     job.has_bad_retry_after = true;
+  }
   const double delay_s = job.group.heeds_retry_after
                              ? std::max(kMinRetryDelayS, static_cast<double>(retry_after_s))
                              : kMinRetryDelayS;
