--- a/src/core/scheduling/autoscaler.cc
+++ b/src/core/scheduling/autoscaler.cc
@@ -12,8 +12,9 @@
 namespace zinclead::core {
 namespace {
 
-// Whether tasks of both jobs can run on the same machines. The time for which the jobs may wait for
-// spot machines is not compared.
+// Whether a request for machines for `job` may include tasks of `other`: both have the same kind,
+// priority and requirements, and `other` need not run in one zone. The time for which the jobs may
+// wait for spot machines is not compared.
 bool HaveSameRequirements(const Job& job, const Job& other) {
   return other.spec.kind == job.spec.kind && other.spec.priority == job.spec.priority &&
          other.spec.cpus == job.spec.cpus && other.spec.gpus == job.spec.gpus &&
--- a/src/core/scheduling/backfill.h
+++ b/src/core/scheduling/backfill.h
@@ -6,7 +6,7 @@
 
 namespace zinclead::core {
 
-// Places pending tasks on a machine on which capacity was freed since the last scheduling cycle.
+// Places pending tasks on a machine whose capacity may have been freed since the last cycle.
 // Takes the jobs that a cycle has considered before, in the order of the queue. Gangs, and one-zone
 // jobs without a zone, are placed by scheduling cycles only.
 void BackfillMachine(SchedulingContext* context, Machine* machine);
--- a/src/core/scheduling/gang_headroom.h
+++ b/src/core/scheduling/gang_headroom.h
@@ -19,7 +19,8 @@
   explicit GangHeadroom(SchedulingContext* context) : context_(*context) {}
 
   // Estimates from the recently accepted gangs how many gang tasks will arrive while a machine
-  // boots. Job classes whose wait-time objective leaves time for a boot need no headroom.
+  // boots. Job classes without a wait-time objective, or whose objective leaves time for a boot,
+  // get no headroom.
   void ForecastDemand();
   // Reserves capacity for the expected gangs of each class, in one zone (sets
   // ClusterState::gang_headroom). Otherwise arrays would use all free capacity, and the next gang
--- a/src/core/scheduling/gang_placement.h
+++ b/src/core/scheduling/gang_placement.h
@@ -9,9 +9,9 @@
 namespace zinclead::core {
 
 // Places all pending tasks of the gang if all of them fit. Otherwise requests capacity for the
-// tasks that do not fit and, if the gang is starved, reserves the free capacity for the others.
-// Tasks that were lost before the gang has run are replaced. Otherwise the gang starts a new
-// attempt once none of its tasks is on any machine. Requires that job->gang is set.
+// tasks that do not fit and, if the gang is starved, reserves free capacity for the tasks that do.
+// If this leader placed the gang, tasks lost before the gang has run are replaced. Otherwise the
+// gang starts a new attempt once no machine holds its tasks. Requires that job->gang is set.
 void PlaceGang(SchedulingContext* context, Autoscaler* autoscaler, Job* job, ZonePlan* zones);
 
 }  // namespace zinclead::core
--- a/src/core/scheduling/job_objectives.cc
+++ b/src/core/scheduling/job_objectives.cc
@@ -6,9 +6,9 @@
 namespace zinclead::core {
 namespace {
 
-// An array waits for spot machines and existing capacity for at most this share of the time that
-// remains before a machine must be requested. The share is smaller with an objective for the finish
-// time, which depends on an estimated run time.
+// An array waits for spot machines and existing capacity for at most this share of the time from
+// its acceptance until a machine must be requested. The share is smaller with an objective for the
+// finish time, which depends on an estimated run time.
 constexpr double kMaxSpotWaitShare = 0.7;
 constexpr double kMaxSpotWaitShareWithFinishObjective = 0.35;
 // Run times are planned as this many times their estimates, which are often too low.
--- a/src/core/scheduling/job_objectives.h
+++ b/src/core/scheduling/job_objectives.h
@@ -17,8 +17,8 @@
 // Whether the job is an array with a deadline of its own or an objective for its finish time.
 bool HasDeadline(const config::Settings& settings, const Job& job);
 
-// Whether the job is an array whose objectives leave time to wait for spot machines. Such a job
-// requests no on-demand machines yet.
+// Whether the job is an array below high priority that allows spot machines and whose objectives
+// and deadline leave time to wait for them. Such a job requests no on-demand machines yet.
 bool CanWaitForSpot(const ClusterState& state, const Job& job, double now);
 
 // Returns the seconds from the request of a machine of this type until a task of the job can start
--- a/src/core/scheduling/job_queue.h
+++ b/src/core/scheduling/job_queue.h
@@ -9,13 +9,14 @@
 
 namespace zinclead::core {
 
-// Whether no task of the job has started within the operators' starvation limit.
+// Whether no task of the job has run yet, although the operators' starvation limit has passed since
+// the job's acceptance.
 bool IsStarved(const ClusterState& state, const Job& job, double now);
 
 // Returns the jobs that have tasks to place: jobs of teams within their guaranteed quota first,
-// then by priority, then the oldest first. Until reconciliation has ended, jobs whose tasks may be
-// on machines without this leader's knowledge are left out. Requires that
-// TeamQuotas::FindTeamsWithinGuarantee was called.
+// then by priority (starved jobs right after production), then the oldest first. Until
+// reconciliation has ended, jobs whose tasks may be on machines without this leader's knowledge are
+// left out. Requires that TeamQuotas::FindTeamsWithinGuarantee was called.
 std::vector<Job*> BuildJobQueue(const ClusterState& state, const TeamQuotas& quotas, double now);
 
 // Returns, for each resource, the smallest amount that a task of any of the jobs requests.
--- a/src/core/scheduling/placement_constraints.h
+++ b/src/core/scheduling/placement_constraints.h
@@ -34,7 +34,8 @@
 int SpreadCapacity(const Job& job, const std::string& zone, const ZonePlan& plan);
 
 // Whether the job allows the machine: its type, whether it is a spot machine, and no recent failure
-// of the job on it. Zone, capacity and the machine's state are not checked.
+// of the job on it (ignored if the job itself counts as faulty). Zone, capacity and the machine's
+// state are not checked.
 bool MachineSuits(const SchedulingContext& context, const Job& job, const Machine& machine);
 
 // Whether the job allows the machine (MachineSuits) and the machine accepts new tasks now.
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -7,12 +7,12 @@
 namespace zinclead::core {
 namespace {
 
-// An urgent job does not wait for its victims to save a checkpoint. Other jobs preempt only tasks
-// that save checkpoints.
+// An urgent job does not wait for its victims to save a checkpoint. Other jobs preempt tasks of
+// lower priority only if these save checkpoints; reclaiming a team's quota needs no checkpoints.
 bool IsUrgent(const Job& job) { return job.spec.priority <= wire::Priority::kHigh; }
 
-// Orders victims: the lowest priority first, and within a priority the latest start first, since it
-// loses the least work.
+// Orders victims: the lowest priority first, and within a priority the latest attempt first, since
+// it loses the least work.
 bool IsPreemptedBefore(const Attempt* first, const Attempt* second) {
   const wire::Priority first_priority = first->job->spec.priority;
   const wire::Priority second_priority = second->job->spec.priority;
--- a/src/core/scheduling/scheduling_context.h
+++ b/src/core/scheduling/scheduling_context.h
@@ -11,8 +11,8 @@
 
 namespace zinclead::core {
 
-// Lives for one cycle. Does not own the state and the tracker. `now` is on the steady clock, in
-// seconds.
+// Lives for one cycle, or for one call that backfills a machine or moves services to it. Does not
+// own the state and the tracker. `now` is on the steady clock, in seconds.
 struct SchedulingContext {
   SchedulingContext(ClusterState* cluster_state, AttemptTracker* attempt_tracker,
                     double cycle_started_at)
@@ -28,7 +28,8 @@
   std::vector<Job*> job_queue;
   size_t next_job = 0;         // position in job_queue after the job that is being placed
   Resources smallest_request;  // for each resource, the smallest request of a task in the queue
-  // Machines with capacity for the smallest request, in the order of their ids.
+  // Machines that accept new tasks and have capacity for the smallest request, in the order of
+  // their ids; only the backfilled machine during a backfill.
   std::vector<Machine*> candidates;
 };
 
--- a/src/core/scheduling/service_consolidation.cc
+++ b/src/core/scheduling/service_consolidation.cc
@@ -36,7 +36,7 @@
 // The downtime that migrations may cause.
 struct MigrationBudget {
   double service_tasks = 0;              // tasks of all services
-  double start_limit_leases = 0;         // the shortest start limit of the services, in leases
+  double start_limit_leases = 0;         // shortest start limit of a service, in leases; at most 1
   double max_evacuation_downtime_s = 0;  // of one evacuation, summed over the migrated tasks
 };
 
--- a/src/core/scheduling/team_quotas.h
+++ b/src/core/scheduling/team_quotas.h
@@ -12,14 +12,15 @@
 
 namespace zinclead::core {
 
-// Checks quotas in one scheduling cycle, and counts the resources that the cycle preempts from each
-// team.
+// Checks quotas in one scheduling cycle, and counts the resources that the cycle reclaims from
+// teams above their guaranteed quota.
 class TeamQuotas {
  public:
   explicit TeamQuotas(ClusterState* state) : state_(*state) {}
 
-  // Finds the teams whose unfinished jobs all fit within their guaranteed quota. Jobs of these
-  // teams are placed before those of other teams. Until this call, no team is within its guarantee.
+  // Finds the teams with a guaranteed quota within which all their unfinished jobs fit. Jobs of
+  // these teams are placed before those of other teams. Until this call, no team is within its
+  // guarantee.
   void FindTeamsWithinGuarantee();
 
   // Whether all unfinished jobs of the job's team fit within the team's guaranteed quota.
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -91,8 +91,9 @@
     return SchedulePoll(lease_s_);
   }
   if (record->node == node_) {
-    // This node created the key before a restart, or in an election whose response was lost. It
-    // does not act as leader under that lease, so the lease can be revoked before it expires.
+    // This node created the key before a restart, in a term from which it has stepped down, or in
+    // an election whose response was lost. It does not act as leader under that lease, so the lease
+    // can be revoked before it expires.
     spdlog::info(
         "elector: this node holds a lease of an earlier election; revoking it: term={} lease={}",
         record->term, record->lease_id);
--- a/src/election/elector.h
+++ b/src/election/elector.h
@@ -68,7 +68,8 @@
     kLeading,      // created the leader key and renews its lease
   };
 
-  // Called on the elector's thread. They may destroy objects that depend on the term.
+  // Called on the elector's thread, also from within the elector's On... functions: objects that
+  // on_leadership_lost destroys may be gone when such a call returns.
   struct Callbacks {
     // This node was elected. `fence` is a precondition on the leader key that fails once the key of
     // this term is deleted or replaced. All writes of the term must carry it.
@@ -100,17 +101,18 @@
   // When the state service last responded to a read of the leader key; 0 if it never did.
   [[nodiscard]] double last_store_response_at() const { return last_store_response_at_; }
 
-  // The leader of leader_term(), or empty if that leader's key no longer exists.
+  // The leader of leader_term(); empty if none is known. Cleared when a read finds no leader key,
+  // and when this node steps down.
   [[nodiscard]] const std::string& leader() const { return leader_; }
   // The highest term that this node was elected in, read from the leader key, or learned from a
-  // peer's announcement.
+  // leader's announcement.
   [[nodiscard]] uint64_t leader_term() const { return leader_term_; }
 
   // A message carried `term`. This node steps down if it leads a lower term, because a newer leader
   // exists.
   void OnTermSeen(uint64_t term);
   // A peer announced that `node` leads `term`. `node` is empty if the peer does not lead; `term` is
-  // then the highest term that the peer has seen.
+  // then the peer's leader_term().
   void OnLeaderAnnouncement(const std::string& node, uint64_t term);
   // The state service rejected a write of this term because the term's leader key no longer exists.
   // This node steps down.
--- a/src/service/leader.h
+++ b/src/service/leader.h
@@ -59,7 +59,7 @@
   void OnUserRequest(const UserRequest& request, const Reply& reply);
 
   // Returns the worker's commands, which renew the worker's lease, or 503 if the lease must not be
-  // renewed.
+  // renewed or the cluster rejects the heartbeat.
   net::Response OnHeartbeat(const wire::Heartbeat& heartbeat);
 
   // Executes the decisions of a scheduling cycle of this term: sends `actions` to the cloud and
--- a/src/service/leader_announcer.h
+++ b/src/service/leader_announcer.h
@@ -29,7 +29,7 @@
   // Interval between two announcements.
   [[nodiscard]] double interval_s() const;
 
-  // Returns an announcement of the highest term seen, which names this node if it leads.
+  // Returns an announcement of the elector's leader_term(), which names this node if it leads.
   [[nodiscard]] wire::LeaderAnnouncement MakeAnnouncement(
       std::optional<wire::CreditGrant> credits = std::nullopt) const;
 
