--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -53,7 +53,8 @@
   double created_at = 0;               // when it was placed or first listed
   double running_since = 0;
   double stop_requested_at = 0;
-  // Only in gangs: heartbeats that listed the task as waiting since the gang last lost a task.
+  // Only in gangs: heartbeats since the gang last lost a task that listed this task as fetching or
+  // waiting.
   int waiting_heartbeats = 0;
 };
 
--- a/src/core/attempt_tracker.h
+++ b/src/core/attempt_tracker.h
@@ -1,6 +1,6 @@
-// Adds, changes and removes attempts, and keeps consistent with them the allocations of machines,
-// teams and zones and the states of jobs' tasks. Attempts change only through this class. Times are
-// seconds on the steady clock.
+// Adds, stops and removes attempts, and keeps consistent with them the allocations of machines,
+// teams and zones and the states of jobs' tasks. The phases of attempts are set by
+// HeartbeatHandler. Times are seconds on the steady clock.
 #ifndef ZINCLEAD_CORE_ATTEMPT_TRACKER_H_
 #define ZINCLEAD_CORE_ATTEMPT_TRACKER_H_
 
@@ -44,7 +44,7 @@
   // the shortest grace period holds.
   void StopAttempt(Attempt* attempt, double grace_s, double now);
   // Stops a task with the time that it needs to save a checkpoint. A gang is stopped as a whole, or
-  // keeps running if not all of its tasks can be stopped in time.
+  // keeps running if not all of its tasks can be stopped in time, as a stop would not save more.
   void StopWithCheckpoint(Attempt* attempt, double now);
   // Marks the attempt's task as done; in a gang, all tasks.
   void OnTaskDone(Attempt* attempt, double now);
@@ -57,18 +57,18 @@
   // Stops all tasks of the gang, with the time that they need to save if `with_checkpoint`. The
   // gang's progress is safe once one of its tasks has ended with its progress saved.
   void StopGang(Job* job, bool with_checkpoint, double now);
-  // Adds the attempt of a task that an earlier leader started to its gang. Called after Activate;
-  // stops the gang if its tasks belong to different attempts.
+  // Updates the gang of an attempt that an earlier leader started. To be called after Activate.
+  // Stops the gang if its tasks have different attempt numbers, or if it is already stopping.
   void AdoptGangTask(Attempt* attempt, double now);
   // Whether a stop command would reach every task of the gang in time to save: all tasks have
-  // attempts, and their machines send heartbeats on time.
+  // active attempts, and their machines receive commands and send heartbeats on time.
   bool CanStopAllTasks(const Job& job, double now) const;
   // Updates the gang from the attempt's phase, which a heartbeat has just listed.
   void OnGangTaskListed(Attempt* attempt);
   // Whether the gang's lost tasks may be started again with the number of its current attempt.
   static bool MayReplaceLostTasks(const Job& job);
-  // Whether no task of the gang can be on a machine any more, so that the whole gang may be placed
-  // again.
+  // Whether no task of the gang can be on a machine any more. If so, marks the gang as unplaced, so
+  // that the whole gang may be placed again.
   static bool HasReleasedAllTasks(Job* job);
 
  private:
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -6,7 +6,7 @@
 //
 // State that must be durable is kept in records. A change queues its record; the service serializes
 // queued records into transactions and calls OnStored when they are durable. Users get no response
-// before that.
+// to a change before that.
 #ifndef ZINCLEAD_CORE_CLUSTER_H_
 #define ZINCLEAD_CORE_CLUSTER_H_
 
@@ -77,7 +77,7 @@
   void FinishLoading(double now) { durable_state_.FinishLoading(now); }
 
   // ---- users ----
-  // Accepts the job, or returns why not. Idempotent: a repeated submission changes nothing.
+  // Accepts the job, or returns why not. Submitting an accepted job again changes nothing.
   SubmitResult Submit(const wire::JobSpec& spec, double now, double wall_now);
   // Cancels the job. Idempotent.
   CancelOutcome Cancel(const std::string& id);
@@ -87,7 +87,8 @@
 
   // ---- workers ----
   using HeartbeatResult = core::HeartbeatResult;
-  // See HeartbeatHandler::OnHeartbeat.
+  // Processes a worker's heartbeat and returns the response. `lease_expired`: the leader's own
+  // lease may have expired, so that no task may be started (see HeartbeatHandler::OnHeartbeat).
   HeartbeatResult OnHeartbeat(const wire::Heartbeat& heartbeat, double now,
                               bool lease_expired = false) {
     return heartbeats_.OnHeartbeat(heartbeat, now, lease_expired);
@@ -139,7 +140,8 @@
   void OnStored(const std::string& key, double now) { durable_state_.OnStored(key, now); }
   void Requeue(const std::string& key) { queue_.Requeue(key); }
 
-  // The ids of the jobs whose accepted, done or cancelled state became durable since the last call.
+  // Returns the ids of the jobs whose records became durable since the last call. A record contains
+  // a job's acceptance, its final state and the progress of its first chunk.
   std::vector<std::string> TakeDurableStateChanges();
 
   uint64_t term() const { return state_.term; }
@@ -154,7 +156,7 @@
   // admission::AdmissionPolicy::MakeGrant).
   wire::CreditGrant MakeCreditGrant(double now) { return state_.admission.MakeGrant(now); }
   const admission::AdmissionPolicy& admission() const { return state_.admission; }
-  // See core::LeaseRenewalGraceS.
+  // How long after the end of its own lease a leader may still renew workers' leases, in seconds.
   static double LeaseRenewalGraceS(const config::Settings& settings) {
     return core::LeaseRenewalGraceS(settings);
   }
--- a/src/core/cluster_state.cc
+++ b/src/core/cluster_state.cc
@@ -9,8 +9,8 @@
 
 double LeaseRenewalGraceS(const config::Settings& settings) {
   // A confirmed cancellation must take effect within cancel_s, also on a worker that only an
-  // earlier leader reaches: that leader responds up to this limit, and one lease later the worker
-  // stops its tasks. The 3% cover clock drift and the delay of the last response.
+  // earlier leader reaches: that leader renews the worker's lease up to this limit, and one lease
+  // later the worker stops its tasks. The 3% cover clock drift and the delay of the last response.
   return (settings.cancel_s - settings.lease_s) * 0.97;
 }
 
--- a/src/core/cluster_state.h
+++ b/src/core/cluster_state.h
@@ -84,7 +84,9 @@
 
   // Used only while loading: the progress chunks, by job and chunk number.
   std::map<std::string, std::map<uint32_t, std::string>> loaded_progress;
-  std::vector<std::string> durable_state_changes;  // see Cluster::TakeDurableStateChanges
+  // Ids of the jobs whose records became durable since the last call of
+  // Cluster::TakeDurableStateChanges.
+  std::vector<std::string> durable_state_changes;
   // How many more tasks the headroom for production services (Machine::headroom_slots) held in the
   // last scheduling cycle than required.
   int headroom_surplus = 0;
@@ -96,14 +98,14 @@
   GangArrivals gang_arrivals;
   bool reconciled = false;   // see FailoverReconciler
   bool schedule_due = true;  // something has changed since the last scheduling cycle
-  double next_wake_at = 0;   // when the service must call Cluster::Schedule at the latest
+  double next_wake_at = 0;   // when Cluster::Schedule must be called even if nothing has changed
   double retry_at = 0;       // when pending jobs are retried even if nothing has changed
   CycleRateLimiter cycle_rate_limiter;
   double next_migration_at = 0;  // no service is migrated before this time
 };
 
-// How long after the start of a term an earlier leader that can't reach the state service may still
-// renew workers' leases, in seconds.
+// How long after the end of its own lease a leader that can't reach the state service may still
+// renew workers' leases, in seconds. A new term begins only after the end of that lease.
 double LeaseRenewalGraceS(const config::Settings& settings);
 
 }  // namespace zinclead::core
--- a/src/core/cycle_rate_limiter.cc
+++ b/src/core/cycle_rate_limiter.cc
@@ -10,8 +10,9 @@
 // handles all changes that arrive together.
 constexpr double kMinIntervalHeartbeatShare = 0.05;
 
-// Limits the share of the node's wall time that cycles take, including waits for a shared CPU core.
-// The rest remains for heartbeats, user requests and the leader's lease.
+// Limits the share of the node's wall time that cycles take, including waits for a shared CPU core,
+// except for cycles so long that the maximum interval applies. The rest of the time remains for
+// heartbeats, user requests and the leader's lease.
 constexpr double kMaxCycleTimeShare = 0.25;
 
 }  // namespace
--- a/src/core/cycle_rate_limiter.h
+++ b/src/core/cycle_rate_limiter.h
@@ -1,5 +1,4 @@
-// Limits the rate of scheduling cycles, so that a slow node spends at most a fixed share of its
-// time in them.
+// Limits the rate of scheduling cycles, so that on a slow node they leave time for other work.
 #ifndef ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
 #define ZINCLEAD_CORE_CYCLE_RATE_LIMITER_H_
 
@@ -13,8 +12,8 @@
 // Returns the time of a steady clock, in seconds.
 using SteadyClock = std::function<double()>;
 
-// Spaces scheduling cycles in proportion to their duration. The caller must not run a cycle before
-// next_cycle_at(). Not thread-safe.
+// Spaces scheduling cycles in proportion to their duration, within a minimum and a maximum
+// interval. The caller must not run a cycle before next_cycle_at(). Not thread-safe.
 class CycleRateLimiter {
  public:
   // If `clock` is empty, the duration of cycles counts as zero and only the minimum interval
--- a/src/core/gang.h
+++ b/src/core/gang.h
@@ -14,7 +14,7 @@
   kUnplaced,  // the gang has no attempt; all tasks may be placed together
   kWaiting,   // an attempt was placed; no heartbeat has shown that it has run
   kRunning,   // the attempt has run, so a lost task can't be replaced
-  kStopping,  // the attempt has failed; no task starts until all have left their machines
+  kStopping,  // the attempt failed or must stop; no task starts until all have left their machines
   kEnded,     // all tasks are done
 };
 
--- a/src/core/gang_lifecycle.cc
+++ b/src/core/gang_lifecycle.cc
@@ -14,7 +14,7 @@
 constexpr int kMaxBackoffDoublings = 3;
 
 // A lost task is replaced only after this many later heartbeats list each remaining task as
-// waiting. The first one may have been sent before the loss.
+// fetching or waiting. The first of these heartbeats may have been sent before the loss.
 constexpr int kMinWaitingHeartbeatsToReplace = 2;
 
 }  // namespace
@@ -87,8 +87,9 @@
   for (auto& [index, other] : job->active) other->waiting_heartbeats = 0;
 }
 
-// Requires heartbeats since the loss that list each remaining task as waiting. They show that the
-// gang did not run while it was complete; without the lost tasks it can't start.
+// Requires heartbeats since the loss that list each remaining task, if its start was sent, as
+// fetching or waiting. They show that the gang did not run while it was complete; without the lost
+// tasks it can't start.
 bool AttemptTracker::MayReplaceLostTasks(const Job& job) {
   return job.gang->MayReplaceLostTask() && !job.active.empty() &&
          std::all_of(job.active.begin(), job.active.end(), [](const auto& entry) {
--- a/src/core/heartbeat_handler.cc
+++ b/src/core/heartbeat_handler.cc
@@ -220,7 +220,8 @@
     return ResponseDelivery::kUnknown;
   }
   if (new_epoch) {
-    // The last response came within the lease and would have renewed it.
+    // Responses renew the worker's lease. If the last one was sent less than a lease ago and the
+    // agent epoch has ended all the same, the worker has probably not received it.
     return since_last_s < state_.settings.lease_s ? ResponseDelivery::kMissed
                                                   : ResponseDelivery::kUnknown;
   }
@@ -254,10 +255,9 @@
   Job* job = state_.FindJob(listed.task.job);
   const bool ended = listed.phase == wire::TaskPhase::kEnded;
   if (job == nullptr || listed.task.index >= job->spec.tasks) {
-    // The job is finished, or was never accepted (accepted jobs are stored before any of their
-    // tasks starts). The task is not counted for a team: jobs of teams with a limit wait until the
-    // machine has acknowledged the term, and the response that carries the term also stops this
-    // task.
+    // The job is finished, or was never accepted: jobs are stored before any of their tasks starts.
+    // The task need not be counted for its team: jobs of teams with a limit wait until the machine
+    // has acknowledged the term, and the response that carries the term also stops this task.
     commands->push_back({ended ? wire::CommandOp::kAcknowledgeCompletion : wire::CommandOp::kStop,
                          listed.task, listed.attempt, 0});
     return;
@@ -286,8 +286,8 @@
     attempts_.Activate(attempt);
     if (job->gang) attempts_.AdoptGangTask(attempt, now);
   } else {
-    // A duplicate, or a task that no longer needs to run: the job has ended, the task is done, or
-    // another attempt is active for it.
+    // A duplicate, or a task that must not run: the job has ended or is cancelled, the task is done
+    // or has another active attempt, or the worker had seen this term before.
     attempts_.StopAttempt(attempt, 0, now);
   }
   return attempt;
--- a/src/core/heartbeat_handler.h
+++ b/src/core/heartbeat_handler.h
@@ -47,8 +47,9 @@
   // Whether a heartbeat shows that the worker received the responses to earlier heartbeats.
   enum class ResponseDelivery { kUnknown, kAcknowledged, kMissed };
 
-  // Whether the heartbeat must be rejected: a later one was handled already, its agent epoch has
-  // ended, or its fencing token is too low.
+  // Whether the heartbeat must be rejected: this or a later one was handled already, its agent
+  // epoch has ended, or it lacks this term's fencing token although the machine has acknowledged
+  // the term.
   bool IsStale(const Machine& machine, const wire::Heartbeat& heartbeat) const;
   void UpdateMachine(Machine* machine, const wire::Heartbeat& heartbeat, double now);
 
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -52,8 +52,8 @@
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;         // of the last heartbeat handled in the epoch
   double last_heartbeat_at = 0;  // the last one whose response may have renewed its lease
-  // The responses in a row that the worker has provably not received, and the time of the first.
-  // See HeartbeatHandler::DetectDownlinkLoss.
+  // The responses in a row that the worker seems not to have received, and when the first and the
+  // last of them were noticed. See HeartbeatHandler::DetectDownlinkLoss.
   int unacknowledged_responses = 0;
   double first_unacknowledged_at = 0;
   double last_unacknowledged_at = 0;
@@ -74,7 +74,7 @@
   std::map<AttemptKey, std::unique_ptr<Attempt>> attempts;
   std::set<std::string> images;  // container images that tasks have fetched here
 
-  // Its latest heartbeats show that responses reach the worker.
+  // False after several responses in a row that the worker seems not to have received.
   bool ReceivesCommands() const {
     return unacknowledged_responses < kUnacknowledgedResponseThreshold;
   }
--- a/src/core/machine_lifecycle.cc
+++ b/src/core/machine_lifecycle.cc
@@ -24,9 +24,9 @@
 
 void MachineLifecycle::CheckMachines(double now, bool lease_expired, CloudActions* cloud_actions) {
   for (auto& [id, machine] : state_.machines) CheckpointBeforeReclaim(machine.get(), now);
-  // Without a valid lease, the silence of a machine proves nothing: a newer leader may renew its
-  // lease and use it while its heartbeats do not reach this leader. An isolated leader that acted
-  // on the silence would start tasks a second time and terminate machines in use.
+  // Once the leader's own lease has expired, a silent machine may be in use by a newer leader,
+  // which renews the machine's lease. An isolated leader that acted on the silence would start
+  // tasks a second time and terminate machines in use.
   if (lease_expired) return;
   const FleetHealth fleet = AssessFleet(now);
   for (auto& [id, owned] : state_.machines) {
@@ -190,7 +190,8 @@
          state_.settings.heartbeat_interval_s / 4;
 }
 
-// A worker that lost one response is silent for a heartbeat interval, its timeout and one second.
+// Longer than the silence of a worker that lost one response: a heartbeat interval, the worker's
+// timeout and one second.
 double MachineLifecycle::FailoverSilenceS() const {
   return std::max(kFailoverSilenceLeaseShare * state_.settings.lease_s,
                   2 * state_.settings.heartbeat_interval_s + wire::kHeartbeatTimeoutS + 1);
--- a/src/core/machine_lifecycle.h
+++ b/src/core/machine_lifecycle.h
@@ -15,7 +15,7 @@
       : state_(*state), attempts_(*attempts) {}
 
   // Applies the rules to each machine and appends the terminations that are due to `cloud_actions`.
-  // A leader whose lease has expired terminates no machine.
+  // A leader whose lease has expired terminates no machine; it only stops tasks before a reclaim.
   void CheckMachines(double now, bool lease_expired, CloudActions* cloud_actions);
   // Cordons the machine and stops its tasks, with time to save a checkpoint.
   void CordonAndStopTasks(Machine* machine, double now);
--- a/src/core/machine_registry.cc
+++ b/src/core/machine_registry.cc
@@ -6,7 +6,7 @@
 namespace zinclead::core {
 namespace {
 
-// How many retry intervals an offer without capacity is not requested again, at first and at most.
+// For how many retry intervals an offer without capacity is not requested, at first and at most.
 constexpr double kInitialCapacityBackoffRetryIntervals = 4;
 constexpr double kMaxCapacityBackoffRetryIntervals = 16;
 
--- a/src/core/progress_records.cc
+++ b/src/core/progress_records.cc
@@ -9,12 +9,12 @@
 namespace zinclead::core {
 namespace {
 
-// An upper bound: the longest text lists every second task, with five bytes ("9998,") for two
-// tasks.
+// An upper bound for the text of a done set with numbers of up to five digits. The text is longest
+// if two of every three tasks are done: then a range such as "9997-9998," stands for three tasks.
 constexpr uint32_t kMaxDoneSetBytesPerTask = 4;
 
-// A done set takes at most a value's bytes divided by this: half of the value is for the job's
-// description, the rest is spare.
+// The done set of one chunk takes at most the size limit of a value divided by this. In a job's
+// record, half of the limit is then for the job's description, and the rest stays free.
 constexpr uint32_t kDoneSetValueDivisor = 4;
 
 }  // namespace
@@ -82,7 +82,7 @@
   const size_t description = record.dump().size();
   const size_t max_bytes =
       state_.settings.ValueBytes() / kDoneSetValueDivisor * (kDoneSetValueDivisor - 1);
-  if (description > max_bytes) return;  // its record can't be written, whatever the chunk size
+  if (description > max_bytes) return;  // leaves too little space for a chunk's done set
   if (job->spec.tasks <= job->tasks_per_chunk) return WriteChunks(job);
   std::vector<uint32_t> covered;
   const std::string done = SerializeDoneSet(*job, 0, job->spec.tasks, std::string::npos, &covered);
--- a/src/core/progress_records.h
+++ b/src/core/progress_records.h
@@ -27,8 +27,8 @@
   // Marks the tasks of a stored done set as done. `first`: the index of the task that number 0 in
   // the set refers to.
   void ApplyDone(Job* job, uint32_t first, const std::string& text);
-  // Starts to split the progress of a job into chunks of the current size (see ChunkSplit), if its
-  // record can hold all of the progress.
+  // Starts to split the progress of a job into chunks of the current size (see ChunkSplit), if the
+  // job's record can hold all of the progress.
   void BeginChunkSplit(Job* job);
   // Queues the record that contains the progress of the task.
   void EnqueueProgress(Job* job, uint32_t index);
--- a/src/core/token_bucket.cc
+++ b/src/core/token_bucket.cc
@@ -5,7 +5,8 @@
 namespace zinclead::core {
 namespace {
 
-// Tolerance for rounding errors, so that Take succeeds after the time that Wait returned.
+// Tolerance for rounding errors, so that Take succeeds after the time that SecondsUntilAvailable
+// returned.
 constexpr double kTokenTolerance = 1e-9;
 
 }  // namespace
