--- a/bench/simulated_fleet.cc
+++ b/bench/simulated_fleet.cc
@@ -11,7 +11,7 @@
 constexpr uint64_t kTerm = 1;
 constexpr double kWallClockOffsetS = 1000;
 constexpr size_t kRecordsPerTransaction = 12;
-// One of this many jobs is a service, and one a sweep at the lowest priority.
+// Of this many jobs, one is a service and one an array job of the lowest priority.
 constexpr int kJobMixPeriod = 10;
 
 config::Settings MakeSettings(const FleetSize& size) {
--- a/src/admission/admission_policy.h
+++ b/src/admission/admission_policy.h
@@ -42,7 +42,9 @@
 struct Decision {
   bool admitted = false;
   bool has_reservation = false;  // the request was refused and has a reservation
-  int retry_after_s = 0;         // 1 to kMaxRetryAfterS if refused, 0 if admitted
+  // 0 if admitted. If refused, 1 to kMaxRetryAfterS, or Limits::busy_retry_s while fair admission
+  // is off.
+  int retry_after_s = 0;
 };
 
 // Statistics of the term, for logs and tests.
@@ -81,7 +83,7 @@
   [[nodiscard]] const Counters& counters() const { return counters_; }
   // Number of reservations, including granted ones.
   [[nodiscard]] size_t reservations() const { return reservations_.size(); }
-  // Number of admitted jobs whose record is not durable yet.
+  // Number of admitted jobs whose record is not durable yet; 0 while fair admission is off.
   [[nodiscard]] size_t unstored() const { return unstored_.size(); }
   [[nodiscard]] const ActiveJobs& active() const { return active_; }
   // Returns whether the incremental counts match a recount. For tests.
--- a/src/admission/bloom_filter.cc
+++ b/src/admission/bloom_filter.cc
@@ -22,8 +22,8 @@
     hash ^= static_cast<uint8_t>(c);
     hash *= kPrime;
   }
-  // Mixes the high bits into the low ones: ForEachBit uses both halves of the hash, and ids differ
-  // only in their last characters.
+  // Mixes the high bits into the low ones: ForEachBit uses both halves of the hash, and ids often
+  // differ only in their last characters.
   hash ^= hash >> 29U;
   return hash * kPrime;
 }
--- a/src/admission/credit_gate.cc
+++ b/src/admission/credit_gate.cc
@@ -41,13 +41,14 @@
   EraseExpiredRefusals(now);
   const auto refused = refused_until_.find(request.id);
   if (refused != refused_until_.end()) {
-    // The leader set this retry time, so every node responds with the same one.
+    // The leader set this retry time and would repeat it, so every node responds with the same one.
     return Refuse(std::max(1, static_cast<int>(std::ceil(refused->second - now))));
   }
   if (reservations_.MayContain(request.id)) return Forward();
   auto& credits_of_tier = credits_[request.tier];
   const auto credits = credits_of_tier.find(request.team);
-  // The leader's settings may not have this team; the leader decides.
+  // The grant does not list this team, as the leader's settings may not have it. A few submissions
+  // are forwarded, and the leader decides on them.
   if (credits == credits_of_tier.end()) return DecideWithoutGrant(request.team, now);
   if (credits->second == 0) return Refuse(RandomRetryAfter());
   --credits->second;
--- a/src/admission/credit_gate.h
+++ b/src/admission/credit_gate.h
@@ -41,12 +41,13 @@
   // credit of its team and tier.
   [[nodiscard]] ForwardDecision Decide(const Request& request, double now);
 
-  // Call when the leader has refused a forwarded submission. Until `retry_after_s` has passed, this
-  // node refuses the id itself.
+  // Call when the leader has refused a forwarded submission. Until `retry_after_s` has passed or a
+  // new leader is announced, this node refuses the id itself.
   void OnRefused(const std::string& id, int retry_after_s, double now);
 
-  // Retry-After of a submission while the leader is unreachable. Random, which prevents all users
-  // from retrying in the second in which a new leader starts.
+  // Retry-After, in seconds, of a submission while the leader is unreachable: 1 if fair admission
+  // is off, otherwise random, so that users do not all retry in the second in which a new leader
+  // starts.
   [[nodiscard]] int RandomRetryWithoutLeader();
 
   // Numbers of submissions since the process started.
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -11,7 +11,7 @@
 
 namespace zinclead::admission {
 
-// Cost that a team of weight 1 may be served in each round.
+// Cost, in record writes, that each round adds to the deficit of a team of weight 1.
 inline constexpr double kQuantumPerWeight = 1;
 
 // A refused job that will be admitted later. Owned by AdmissionPolicy. Times are in seconds on the
--- a/src/admission/limits.h
+++ b/src/admission/limits.h
@@ -36,17 +36,17 @@
   // Whether fair admission is on. Otherwise max_active_jobs is the only limit.
   bool is_fair_admission_on = false;
   size_t max_active_jobs = 0;
-  // Retry-After of a submission above max_active_jobs while fair admission is off.
+  // Retry-After, in seconds, of a submission above max_active_jobs while fair admission is off.
   int busy_retry_s = 1;
   size_t teams = 0;
 
-  // Rate of all tiers together.
+  // Record writes per second that new jobs of all tiers together may cause.
   double rate = 0;
-  // Rate that is guaranteed to each tier.
+  // Record writes per second that are guaranteed to the new jobs of each tier.
   std::array<double, kTierCount> tier_rate{};
-  // Size of each tier's token bucket.
+  // Size of each tier's token bucket, in record writes.
   std::array<double, kTierCount> tier_burst{};
-  // Number of tasks whose progress fits one record.
+  // Estimated number of tasks whose progress is kept in one record.
   double tasks_per_record = 1;
   // Weight of each team within a tier.
   std::map<std::string, double> team_weight;
@@ -58,12 +58,13 @@
   double reservation_window_s = 0;
   // Maximum number of admitted jobs whose record is not durable yet.
   size_t max_unstored = 0;
-  // Range of the random Retry-After of a refusal without a reservation.
+  // Range, in seconds, of the random Retry-After of a refusal without a reservation.
   int no_reservation_retry_min_s = 0;
   int no_reservation_retry_max_s = 0;
-  // Maximum of the random Retry-After while there is no leader; the minimum is 1.
+  // Maximum, in seconds, of the random Retry-After while there is no leader; the minimum is 1.
   int no_leader_retry_max_s = 1;
-  // Submissions per second that a follower without a valid grant forwards.
+  // Submissions per second that a follower without a valid grant forwards: an equal part for each
+  // team of the settings, and one more part for all other teams together.
   double fallback_rate = 0;
 
   // Weight of the team within a tier; 1 for unknown teams.
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -34,12 +34,13 @@
 struct OperatorSettings {
   // Dispatch: the scheduler retries pending jobs, oldest first, every retry_s plus a random time up
   // to retry_jitter_s. A job that was submitted more than deadline_s ago is scheduled after
-  // the other jobs of its rank, but still runs.
+  // the other jobs of its priority, but still runs.
   double retry_s = 5;
   double retry_jitter_s = 1;
   double deadline_s = 14400;
   // Guards against starvation: a job of which no task has started after this time is scheduled
-  // before all jobs except those of production priority.
+  // directly after those of production priority. Jobs within their team's guaranteed quota still
+  // come before all others.
   double starvation_limit_s = 120;
   // Admission: maximum number of active jobs. Further submissions are refused with a Retry-After.
   int max_active_jobs = 1024;
--- a/src/fault_injection/fakes/fake_cloud.h
+++ b/src/fault_injection/fakes/fake_cloud.h
@@ -22,15 +22,15 @@
 // is always empty.
 class FakeCloud {
  public:
-  // Starts the worker of a new machine. `identity` holds the fields
-  // that are equal in all its heartbeats.
+  // Starts the worker of a new machine. `identity` holds the fields that are equal in all
+  // its heartbeats.
   using StartWorker = std::function<std::unique_ptr<FakeWorker>(const wire::Heartbeat& identity)>;
 
   // Offers the machine types `types`. `loop` must outlive the cloud.
   FakeCloud(net::EventLoop* loop, std::vector<wire::MachineType> types, StartWorker start_worker);
 
   [[nodiscard]] uint16_t port() const { return server_.port(); }
-  // By machine. Erasing a worker makes the machine fail without notice to the controllers.
+  // By machine id. Erasing a worker makes the machine fail without notice to the controllers.
   std::map<std::string, std::unique_ptr<FakeWorker>>& workers() { return workers_; }
 
  private:
--- a/src/fault_injection/fakes/fake_store.cc
+++ b/src/fault_injection/fakes/fake_store.cc
@@ -32,7 +32,7 @@
   responder->Send({response.status, 0, response.body.dump()});
 }
 
-// Names no events: clients read the keys that they watch again.
+// Lists no events: after the response, clients read the watched keys.
 Json WatchBody(uint64_t revision) { return {{"ledger", revision}, {"events", Json::array()}}; }
 
 }  // namespace
--- a/src/fault_injection/fakes/fake_worker.h
+++ b/src/fault_injection/fakes/fake_worker.h
@@ -21,7 +21,7 @@
 // Belongs to the loop's thread.
 class FakeWorker {
  public:
-  // An attempt that the worker has started and the leader has not cleared.
+  // An attempt that the worker has started and whose end the leader has not acknowledged.
   struct Task {
     wire::TaskPhase phase = wire::TaskPhase::kRunning;
     wire::EndCause cause = wire::EndCause::kNone;
--- a/src/fault_injection/scenario.h
+++ b/src/fault_injection/scenario.h
@@ -24,6 +24,7 @@
   bool has_wait_bound = false;    // each job must be accepted within the wait bound of its tier
 };
 
+// Faults that a scenario can inject.
 enum class FaultKind : uint8_t {
   kPauseController,      // stops the process with SIGSTOP and resumes it at the end of the fault
   kKillController,       // kills the process and starts it again at the end of the fault
@@ -39,6 +40,7 @@
   int controller = -1;  // index; -1: the controller that leads when the fault begins
 };
 
+// The contents of a scenario script.
 struct Scenario {
   std::string name;
   // The run continues beyond this until every job with a wait bound is accepted or given up.
@@ -48,6 +50,7 @@
   bool is_fair_admission_on = true;  // operator setting "fair"
   double write_rps = 20;             // write limit of the state service, in operations per second
   double extra_wait_s = 0;           // added to every wait bound, to allow for the faults
+  // Minimum number of accepted jobs of best-effort priority; 0: not checked.
   int min_best_effort_accepted = 0;
   std::vector<UserGroup> users;
   std::vector<Fault> faults;
--- a/src/fault_injection/users.h
+++ b/src/fault_injection/users.h
@@ -1,5 +1,5 @@
-// Simulated users of a scenario: submit jobs, retry refused submissions as PROTOCOL requires, and
-// record the responses.
+// Simulated users of a scenario: submit jobs, retry submissions that were not accepted, and record
+// the responses. They follow PROTOCOL, except groups that do not heed Retry-After.
 #ifndef ZINCLEAD_FAULT_INJECTION_USERS_H_
 #define ZINCLEAD_FAULT_INJECTION_USERS_H_
 
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -16,7 +16,7 @@
 
 // A response that a server sends or that a client received. Bodies are JSON.
 struct Response {
-  int status = 0;         // 0 at a client if no complete response arrived in time
+  int status = 0;         // 0 at a client that got no complete response
   int retry_after_s = 0;  // the Retry-After header; 0 if there is none
   std::string body;
 };
--- a/src/rpc/rate_limited_client.h
+++ b/src/rpc/rate_limited_client.h
@@ -18,7 +18,7 @@
 
 namespace zinclead::rpc {
 
-// Calls that may wait for a connection. Further calls fail immediately.
+// Maximum number of calls that wait for a connection. Further calls fail immediately.
 inline constexpr size_t kMaxQueuedCalls = 64;
 // A larger response is reported as status 0. The largest is a page of the store's keys, up to
 // 512 KiB.
--- a/src/state/batch_builder.h
+++ b/src/state/batch_builder.h
@@ -2,8 +2,8 @@
 // key-value store by one compare-and-swap.
 //
 // The size of a batch is bounded by the store's limit on writes per request, by the size of a
-// request body and by the write rate limit. A record that the store rejects on its own is excluded
-// for some time, so that it does not block the other records.
+// request body and by the write rate limit. A record that the store rejects as the only one of a
+// batch is excluded for some time, so that it does not block the other records.
 #ifndef ZINCLEAD_STATE_BATCH_BUILDER_H_
 #define ZINCLEAD_STATE_BATCH_BUILDER_H_
 
@@ -51,8 +51,8 @@
   void OnOutcomeUnknown(const Batch& batch);
 
   // Must be called when the store refused the batch as malformed. The store's limits may have been
-  // lowered without notice, so the next batches are halved until a batch of one record is refused;
-  // that record is then excluded from batches for some time.
+  // lowered without notice, so the next batches are halved. If a batch of one record is refused,
+  // that record is excluded for some time, and the next batches have the full size again.
   void OnInvalidRequest(const Batch& batch);
 
  private:
@@ -63,10 +63,10 @@
   const KeyVersions* const versions_;
   core::TokenBucket* const write_tokens_;
   const size_t store_max_writes_;
-  size_t current_max_writes_;  // below the store's limit after a batch was refused as malformed
+  size_t current_max_writes_;  // at most the store's limit; see OnInvalidRequest
   const double retry_s_;
-  // Key of each record that the store rejected on its own -> time on the steady clock, in seconds,
-  // until which the record is excluded from batches.
+  // Key of each record that the store rejected as the only one of a batch -> time on the steady
+  // clock, in seconds, until which the record is excluded from batches.
   std::unordered_map<std::string, double> excluded_until_;
   // Keys that a late copy of a batch of unknown outcome may create. They must not be deleted in
   // this term.
