--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -22,7 +22,7 @@
 enum class ScaleOutResult {
   kProvisioned,  // the machines were provisioned, by this or an earlier copy of the request
   kNoCapacity,   // refused: no machine was provisioned
-  kUnknown,      // no valid response: machines may have been provisioned or may still be
+  kUnknown,  // not sent or no clear response: machines may have been provisioned or may still be
 };
 
 // Not thread-safe: used only on the loop's thread. No call runs its `done` before it returns.
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -32,9 +32,9 @@
 
 // All settings of the operators' file, with their defaults.
 struct OperatorSettings {
-  // Dispatch: the scheduler retries pending jobs, oldest first, every retry_s plus a random time up
-  // to retry_jitter_s. A job that was submitted more than deadline_s ago is scheduled after
-  // the other jobs of its priority, but still runs.
+  // Dispatch: the scheduler retries pending jobs every retry_s plus a random time of up to
+  // retry_jitter_s, oldest first within a priority. A job that was submitted more than deadline_s
+  // ago is scheduled after the other jobs of its priority, but still runs.
   double retry_s = 5;
   double retry_jitter_s = 1;
   double deadline_s = 14400;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -70,7 +70,7 @@
      {"deadline", ObjectiveKind::kDeadline}}};
 
 constexpr auto kNotNegative = TomlTable::Range::kNotNegative;
-// A transaction must have room for the fence (the precondition on the leader's key) and one record.
+// A leader election writes two keys in one transaction: the leader key and the term key.
 constexpr int kMinTxnOps = 2;
 
 ObjectiveKind ObjectiveKindOf(const std::string& text) {
